--- a/pkg/balancer/admission.go
+++ b/pkg/balancer/admission.go
@@ -6,14 +6,14 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Waiting is how many tokens wait to be prefilled for requests of each rank.
-type Waiting [routing.RankMost + 1]int
+// PendingPrefill is how many tokens wait to be prefilled for requests of each rank.
+type PendingPrefill [routing.RankMost + 1]int
 
 // add counts tokens of a rank, fewer than none for those that wait no more.
-func (w *Waiting) add(rank, tokens int) { w[rank] = max(0, w[rank]+tokens) }
+func (w *PendingPrefill) add(rank, tokens int) { w[rank] = max(0, w[rank]+tokens) }
 
 // plus is what waits in both.
-func (w Waiting) plus(o Waiting) Waiting {
+func (w PendingPrefill) plus(o PendingPrefill) PendingPrefill {
 	for rank := range w {
 		w[rank] += o[rank]
 	}
@@ -21,7 +21,7 @@
 }
 
 // minus is what waits without a part of it, which may be newer than the whole.
-func (w Waiting) minus(o Waiting) Waiting {
+func (w PendingPrefill) minus(o PendingPrefill) PendingPrefill {
 	for rank := range w {
 		w[rank] = max(0, w[rank]-o[rank])
 	}
@@ -30,7 +30,7 @@
 
 // before is how many tokens are prefilled before those of a new request of a rank: engines take
 // the more urgent first, and among equals the one that came first.
-func (w *Waiting) before(rank int) int {
+func (w *PendingPrefill) before(rank int) int {
 	sum := 0
 	for _, tokens := range w[:rank+1] {
 		sum += tokens
@@ -38,15 +38,15 @@
 	return sum
 }
 
-// Turn is when a new request of a rank has its turn at the engines of a service.
-type Turn struct {
+// QueueEstimate is when a new request of a rank has its turn at the engines of a service.
+type QueueEstimate struct {
 	// Wait is how long the engines need for what is before it.
 	Wait time.Duration
-	// Passes tells that more waits which is less urgent than what is before it: the engines take
+	// Overtakes tells that more waits which is less urgent than what is before it: the engines take
 	// the request before that, though it holds places already.
-	Passes bool
-	// Urgent tells that more urgent requests came of late, for which places are to be kept.
-	Urgent bool
+	Overtakes bool
+	// MoreUrgentSeen tells that more urgent requests came of late, for which places are to be kept.
+	MoreUrgentSeen bool
 }
 
 const (
@@ -85,14 +85,14 @@
 	return false
 }
 
-// Turn estimates when a new request of a rank has its turn at the engines of a service, with so
+// EstimateQueue estimates when a new request of a rank has its turn at the engines of a service, with so
 // many servers that take work. It returns false while too little is known.
-func (b *Balancer) Turn(service string, rank, servers int, now time.Time) (Turn, bool) {
+func (b *Balancer) EstimateQueue(service string, rank, servers int, now time.Time) (QueueEstimate, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.lanesOf(service)
 	l.seen.note(rank, now)
-	turn := Turn{Urgent: l.seen.urgent(rank, now)}
+	turn := QueueEstimate{MoreUrgentSeen: l.seen.urgent(rank, now)}
 	d := l.report(now)
 	if b.othersKnown(now) {
 		d = d.Plus(l.others)
@@ -101,9 +101,9 @@
 	if speed == 0 {
 		return turn, false
 	}
-	before, all := d.Waiting.before(rank), d.Waiting.before(routing.RankMost)
+	before, all := d.PendingPrefill.before(rank), d.PendingPrefill.before(routing.RankMost)
 	turn.Wait = time.Duration(float64(before) / speed * float64(time.Second))
-	turn.Passes = all-before > before
+	turn.Overtakes = all-before > before
 	return turn, true
 }
 
@@ -115,12 +115,12 @@
 // withPlaces leaves out engines on which too many places are taken for a request; if that leaves
 // none, it leaves out none.
 func withPlaces(q Query, choices []choice) []choice {
-	if !q.Engine || q.Places == 0 {
+	if !q.Engine || q.MaxOccupancy == 0 {
 		return choices
 	}
 	fit := make([]choice, 0, len(choices))
 	for i := range choices {
-		if hasPlace(choices[i].Server, choices[i].load, q.Places) {
+		if hasPlace(choices[i].Server, choices[i].load, q.MaxOccupancy) {
 			fit = append(fit, choices[i])
 		}
 	}
@@ -130,9 +130,9 @@
 	return fit
 }
 
-// HasPlace tells whether any of some engines has a place for a request that may go where a share
+// HasFreeSlot tells whether any of some engines has a place for a request that may go where a share
 // of the places is taken.
-func (b *Balancer) HasPlace(servers []routing.Server, places float64, now time.Time) bool {
+func (b *Balancer) HasFreeSlot(servers []routing.Server, places float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range servers {
--- a/pkg/balancer/admission_test.go
+++ b/pkg/balancer/admission_test.go
@@ -83,14 +83,14 @@
 // arrive sends a request to an engine, or refuses it. The least urgent wait for a third of what
 // the most urgent do.
 func (p *playedLoad) arrive(r *playedRequest) {
-	turn, known := p.balancer.Turn("models", r.rank, len(p.servers), p.now)
+	turn, known := p.balancer.EstimateQueue("models", r.rank, len(p.servers), p.now)
 	most := playedWait - playedWait*2/3*time.Duration(r.rank)/(playedRanks-1)
 	if p.admit && known && turn.Wait > most {
 		r.refused = true
 		return
 	}
 	r.lease, _ = p.balancer.Pick(Query{
-		Candidates: p.servers, Engine: true, Service: "models", Class: fmt.Sprint("class-", r.rank), Rank: r.rank, Tokens: r.tokens,
+		Candidates: p.servers, Engine: true, Service: "models", Class: fmt.Sprint("class-", r.rank), Rank: r.rank, PromptTokens: r.tokens,
 	}, p.now)
 	e := p.engines[r.lease.Server.ID]
 	e.queue = append(e.queue, r)
@@ -121,7 +121,7 @@
 	e.queue = append(e.queue[:next], e.queue[next+1:]...)
 	e.busy = p.now.Add(time.Duration(float64(r.tokens) / playedSpeed * float64(time.Second)))
 	r.begun = true
-	r.lease.Begun(e.busy)
+	r.lease.PrefillDone(e.busy)
 	r.lease.Done(ResultDone, e.busy)
 }
 
@@ -208,14 +208,14 @@
 func TestWaitCountsWhatIsBefore(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	_, known := b.Turn("models", 0, 2, now)
+	_, known := b.EstimateQueue("models", 0, 2, now)
 	assert.False(t, known)
-	others := Demand{Speeds: samplesLeast * 1000, Samples: samplesLeast}
-	others.Waiting.add(2, 3000)
-	others.Waiting.add(4, 5000)
-	b.SetOthers(nil, map[ServiceKey]Demand{ServiceKeyOf("models"): others}, now)
+	others := Demand{SpeedSum: samplesLeast * 1000, Samples: samplesLeast}
+	others.PendingPrefill.add(2, 3000)
+	others.PendingPrefill.add(4, 5000)
+	b.SetPeerLoads(nil, map[ServiceKey]Demand{ServiceKeyOf("models"): others}, now)
 	for rank, want := range map[int]time.Duration{0: 0, 1: 0, 2: 1500 * time.Millisecond, 3: 1500 * time.Millisecond, 4: 4 * time.Second, routing.RankMost: 4 * time.Second} {
-		turn, known := b.Turn("models", rank, 2, now)
+		turn, known := b.EstimateQueue("models", rank, 2, now)
 		require.True(t, known, "also of a service that this box had no request for")
 		assert.Equal(t, want, turn.Wait, "rank %d", rank)
 	}
@@ -228,17 +228,17 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	list := serversWithPlaces(2, 20)
-	b.SetOthers(map[ServerKey]Load{KeyOf(list[0].Life()): {Running: 14}, KeyOf(list[1].Life()): {Running: 11, Backlog: 90_000}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Life()): {Running: 14}, KeyOf(list[1].Life()): {Running: 11, Backlog: 90_000}}, nil, now)
 
-	assert.True(t, b.HasPlace(list, 0.6, now))
-	l, _ := b.Pick(Query{Candidates: list, Engine: true, Service: "models", Places: 0.6, Tokens: 300}, now)
+	assert.True(t, b.HasFreeSlot(list, 0.6, now))
+	l, _ := b.Pick(Query{Candidates: list, Engine: true, Service: "models", MaxOccupancy: 0.6, PromptTokens: 300}, now)
 	assert.Equal(t, list[1].ID, l.Server.ID, "however long its prompts")
-	assert.False(t, b.HasPlace(list, 0.6, now), "twelve of twenty are taken on both")
-	assert.True(t, b.HasPlace(list, 1, now))
+	assert.False(t, b.HasFreeSlot(list, 0.6, now), "twelve of twenty are taken on both")
+	assert.True(t, b.HasFreeSlot(list, 1, now))
 
-	l, _ = b.Pick(Query{Candidates: list, Engine: true, Service: "models", Places: 1, Tokens: 300}, now)
+	l, _ = b.Pick(Query{Candidates: list, Engine: true, Service: "models", MaxOccupancy: 1, PromptTokens: 300}, now)
 	assert.Equal(t, list[0].ID, l.Server.ID)
-	assert.True(t, b.HasPlace(serversWithPlaces(1, placesFew-1), 0.01, now), "none are kept of a few")
+	assert.True(t, b.HasFreeSlot(serversWithPlaces(1, placesFew-1), 0.01, now), "none are kept of a few")
 }
 
 // What waits and is less urgent gives way: it holds no places before a request that the engines
@@ -246,14 +246,14 @@
 func TestRequestPassesWhatIsLessUrgent(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	others := Demand{Speeds: samplesLeast * 1000, Samples: samplesLeast}
-	others.Waiting.add(1, 3000)
-	others.Waiting.add(4, 5000)
-	b.SetOthers(nil, map[ServiceKey]Demand{ServiceKeyOf("models"): others}, now)
+	others := Demand{SpeedSum: samplesLeast * 1000, Samples: samplesLeast}
+	others.PendingPrefill.add(1, 3000)
+	others.PendingPrefill.add(4, 5000)
+	b.SetPeerLoads(nil, map[ServiceKey]Demand{ServiceKeyOf("models"): others}, now)
 	for rank, passes := range map[int]bool{0: true, 1: true, 3: true, 4: false, 5: false} {
-		turn, known := b.Turn("models", rank, 2, now)
+		turn, known := b.EstimateQueue("models", rank, 2, now)
 		require.True(t, known)
-		assert.Equal(t, passes, turn.Passes, "rank %d", rank)
+		assert.Equal(t, passes, turn.Overtakes, "rank %d", rank)
 	}
 }
 
@@ -263,8 +263,8 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	urgent := func(rank int, at time.Duration) bool {
-		turn, _ := b.Turn("models", rank, 2, now.Add(at))
-		return turn.Urgent
+		turn, _ := b.EstimateQueue("models", rank, 2, now.Add(at))
+		return turn.MoreUrgentSeen
 	}
 	assert.True(t, urgent(4, 0), "the box has just started")
 	assert.False(t, urgent(0, 0), "nothing is more urgent")
@@ -281,11 +281,11 @@
 	choices := func(engine bool) int {
 		list := serversWithPlaces(2, 10)
 		all := []choice{{Server: &list[0], load: Load{Running: 10}}, {Server: &list[1]}}
-		return len(withPlaces(Query{Engine: engine, Places: 1}, all))
+		return len(withPlaces(Query{Engine: engine, MaxOccupancy: 1}, all))
 	}
 	assert.Equal(t, 1, choices(true))
 	assert.Equal(t, 2, choices(false))
 
-	_, known := New(log.NewNopLogger()).Turn("models", 0, 0, now)
+	_, known := New(log.NewNopLogger()).EstimateQueue("models", 0, 0, now)
 	assert.False(t, known, "no servers have no speed")
 }
--- a/pkg/balancer/availability.go
+++ b/pkg/balancer/availability.go
@@ -35,7 +35,7 @@
 	defer b.mu.Unlock()
 	var a Availability
 	for i := range q.Candidates {
-		if c := &q.Candidates[i]; !slices.Contains(q.Avoid, c.Life()) {
+		if c := &q.Candidates[i]; !slices.Contains(q.Exclude, c.Life()) {
 			b.count(&a, &q, c, now)
 		}
 	}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -79,7 +79,7 @@
 
 // load is what this box has the server do.
 func (s *server) load() Load {
-	return Load{Backlog: s.backlog, Running: s.running, Memory: s.memory}
+	return Load{Backlog: s.backlog, Running: s.running, MemoryTokens: s.memory}
 }
 
 // New returns a balancer that knows nothing yet.
@@ -124,9 +124,9 @@
 	s := c.state
 	return Inputs{
 		Candidates: len(q.Candidates), Running: s.running, Backlog: s.backlog,
-		OthersRunning: c.load.Running - s.running, OthersBacklog: c.load.Backlog - s.backlog, LoadAge: b.loadAge(now),
-		Prefix: q.prefix(), Home: c.home, Cached: c.cached, Transferred: c.transferred, Prefill: c.toPrefill(q),
-		Interactive: p.lane.interactive, Lane: p.lane.size, Failures: c.failures,
+		PeerRunning: c.load.Running - s.running, PeerBacklog: c.load.Backlog - s.backlog, LoadAge: b.loadAge(now),
+		Prefix: q.prefix(), Home: c.home, CachedTokens: c.cached, TransferredTokens: c.transferred, PrefillTokens: c.toPrefill(q),
+		Interactive: p.lane.interactive, LaneSize: p.lane.size, FailureRatio: c.failures,
 	}
 }
 
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -23,7 +23,7 @@
 
 func query(n int, prefix string) Query {
 	return Query{
-		Candidates: servers(n), Hall: "hall-0", Engine: true, Tokens: 9000,
+		Candidates: servers(n), Hall: "hall-0", Engine: true, PromptTokens: 9000,
 		Parts: []Part{{ID: prefix, Tokens: 8000}, {ID: "own", Tokens: 1000}},
 	}
 }
@@ -37,8 +37,8 @@
 		require.True(t, ok)
 		b, _ := second.Pick(q, now)
 		assert.Equal(t, a.Server.ID, b.Server.ID, "boxes agree without talking")
-		a.Begun(now)
-		b.Begun(now)
+		a.PrefillDone(now)
+		b.PrefillDone(now)
 		a.Done(ResultDone, now)
 		b.Done(ResultDone, now)
 	}
@@ -53,7 +53,7 @@
 	again, _ := b.Pick(query(9, "long"), now)
 	assert.Equal(t, long.Server.ID, again.Server.ID)
 	for i := range 20 {
-		short := Query{Candidates: servers(9), Hall: "hall-0", Engine: true, Tokens: 300, Parts: []Part{{ID: fmt.Sprint(i), Tokens: 200}, {ID: "own", Tokens: 100}}}
+		short := Query{Candidates: servers(9), Hall: "hall-0", Engine: true, PromptTokens: 300, Parts: []Part{{ID: fmt.Sprint(i), Tokens: 200}, {ID: "own", Tokens: 100}}}
 		l, _ := b.Pick(short, now)
 		assert.NotEqual(t, long.Server.ID, l.Server.ID)
 		l.Done(ResultDone, now)
@@ -108,7 +108,7 @@
 
 func TestTriedServersAreLeftOut(t *testing.T) {
 	b := New(log.NewNopLogger())
-	_, ok := b.Pick(Query{Candidates: servers(2), Avoid: []routing.Life{{ID: "i-0"}, {ID: "i-1"}}}, time.Now())
+	_, ok := b.Pick(Query{Candidates: servers(2), Exclude: []routing.Life{{ID: "i-0"}, {ID: "i-1"}}}, time.Now())
 	assert.False(t, ok)
 }
 
@@ -162,7 +162,7 @@
 			}
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 			if rapid.Bool().Draw(t, "begun") {
-				open[i].Begun(now)
+				open[i].PrefillDone(now)
 			}
 			open[i].Done(Result(rapid.IntRange(0, int(ResultAbandoned)).Draw(t, "result")), now)
 			open[i].Done(ResultDone, now)
@@ -206,8 +206,8 @@
 func tellEachOther(one, two *Balancer, now time.Time) {
 	for _, b := range [][2]*Balancer{{one, two}, {two, one}} {
 		r := b[0].Report(now)
-		b[1].SetOthers(r.Loads, r.Demands, now)
-		b[1].NotePlacements(r.Placements, now)
+		b[1].SetPeerLoads(r.Loads, r.Demands, now)
+		b[1].RecordPlacements(r.Placements, now)
 	}
 }
 
@@ -217,22 +217,22 @@
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	prompt := query(2, "long")
-	prompt.Parts[1].Tokens, prompt.Tokens = 20000, 28000
+	prompt.Parts[1].Tokens, prompt.PromptTokens = 20000, 28000
 	long, _ := one.Pick(prompt, now)
 	tellEachOther(one, two, now)
-	short := Query{Candidates: servers(2), Hall: long.Server.Hall, Engine: true, Tokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
+	short := Query{Candidates: servers(2), Hall: long.Server.Hall, Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
 	for range 10 {
 		l, _ := two.Pick(short, now)
 		assert.NotEqual(t, long.Server.ID, l.Server.ID)
 		l.Done(ResultDone, now)
 	}
-	long.Begun(now)
+	long.PrefillDone(now)
 	tellEachOther(one, two, now)
-	assert.Equal(t, Load{Running: 1, Memory: 28000}, two.other(KeyOf(long.Server.Life()), now), "that it has begun is told as well")
+	assert.Equal(t, Load{Running: 1, MemoryTokens: 28000}, two.other(KeyOf(long.Server.Life()), now), "that it has begun is told as well")
 	long.Done(ResultDone, now)
 	tellEachOther(one, two, now)
 	assert.Zero(t, two.other(KeyOf(long.Server.Life()), now), "and its end")
-	two.SetOthers(map[ServerKey]Load{KeyOf(long.Server.Life()): {Backlog: 9000}}, nil, now)
+	two.SetPeerLoads(map[ServerKey]Load{KeyOf(long.Server.Life()): {Backlog: 9000}}, nil, now)
 	assert.Equal(t, 9000, two.other(KeyOf(long.Server.Life()), now).Backlog)
 	assert.Zero(t, two.other(KeyOf(long.Server.Life()), now.Add(othersFor+time.Millisecond)), "others that fall silent are forgotten")
 }
@@ -244,22 +244,22 @@
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	q := query(9, "part")
 	home, _ := one.Pick(q, now)
-	one.SetOthers(map[ServerKey]Load{KeyOf(home.Server.Life()): {Backlog: 500000}}, nil, now)
+	one.SetPeerLoads(map[ServerKey]Load{KeyOf(home.Server.Life()): {Backlog: 500000}}, nil, now)
 	away, _ := one.Pick(q, now)
 	require.NotEqual(t, home.Server.ID, away.Server.ID)
 	assert.Empty(t, away.Source, "the home has not read it yet")
 	home.Done(ResultFailed, now)
-	away.Begun(now)
+	away.PrefillDone(now)
 	tellEachOther(one, two, now)
 
 	l, _ := two.Pick(q, now)
 	assert.Equal(t, away.Server.ID, l.Server.ID, "not the home, which does not keep it")
 	now = now.Add(assignedFor + time.Millisecond)
-	two.SetOthers(map[ServerKey]Load{KeyOf(away.Server.Life()): {Backlog: 500000}}, nil, now)
+	two.SetPeerLoads(map[ServerKey]Load{KeyOf(away.Server.Life()): {Backlog: 500000}}, nil, now)
 	l, _ = two.Pick(q, now)
 	assert.NotEqual(t, away.Server.ID, l.Server.ID)
 	assert.Equal(t, away.Server.Address, l.Source)
-	assert.Equal(t, 8000, l.Inputs.Transferred)
+	assert.Equal(t, 8000, l.Inputs.TransferredTokens)
 }
 
 // When a home can't be reached, all boxes go to the same next one.
@@ -296,9 +296,9 @@
 		l.Done(ResultAbandoned, now)
 		return l.Server.ID
 	}
-	b.SetOthers(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Down: downLeast - 1}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: downLeast - 1}}, nil, now)
 	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "one box may be cut off itself")
-	b.SetOthers(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Down: downLeast}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: downLeast}}, nil, now)
 	for range 20 {
 		assert.Equal(t, "i-1", pick())
 	}
@@ -318,7 +318,7 @@
 		loads[KeyOf(s.Life())] = Load{Backlog: 30000}
 	}
 	loads[KeyOf(home.Server.Life())] = Load{Backlog: 60000}
-	b.SetOthers(loads, nil, now)
+	b.SetPeerLoads(loads, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, home.Server.ID, l.Server.ID)
 }
@@ -340,9 +340,9 @@
 	running := make(map[string]int)
 	for i := range 4 * 12 {
 		b := []*Balancer{one, two}[i%2]
-		q := Query{Candidates: serversWithPlaces(4, 12), Hall: "hall-0", Engine: true, Service: "models", Class: "questions", Tokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
+		q := Query{Candidates: serversWithPlaces(4, 12), Hall: "hall-0", Engine: true, Service: "models", Class: "questions", PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
 		l, _ := b.Pick(q, now)
-		l.Begun(now)
+		l.PrefillDone(now)
 		running[l.Server.ID]++
 		tellEachOther(one, two, now)
 	}
@@ -355,14 +355,14 @@
 func TestFullServerIsLeft(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, Tokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
-	b.SetOthers(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Running: 12}}, nil, now)
+	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Running: 12}}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
 }
 
 func TestLoadsAddUp(t *testing.T) {
-	a, b := Load{Backlog: 5, Running: 4, Memory: 7, Down: 2}, Load{Backlog: 1, Running: 2, Memory: 2, Down: 1}
+	a, b := Load{Backlog: 5, Running: 4, MemoryTokens: 7, DownReports: 2}, Load{Backlog: 1, Running: 2, MemoryTokens: 2, DownReports: 1}
 	assert.Equal(t, a, a.Plus(b).Minus(b))
 	assert.Zero(t, b.Minus(a), "a part that is newer than the whole")
 }
@@ -374,9 +374,9 @@
 	chosen := make(map[string]int)
 	for i := range 60 {
 		b := New(log.NewNopLogger())
-		b.NotePlacements([]Placement{{Server: KeyOf(routing.Life{ID: "i-3"}), Parts: prefixOf([]Part{{ID: "all"}}).keys, Prefilled: true}}, now)
+		b.RecordPlacements([]Placement{{Server: KeyOf(routing.Life{ID: "i-3"}), Parts: prefixOf([]Part{{ID: "all"}}).keys, Prefilled: true}}, now)
 		l, _ := b.Pick(Query{
-			Candidates: servers(20), Hall: "hall-9", Engine: true, Tokens: 9000,
+			Candidates: servers(20), Hall: "hall-9", Engine: true, PromptTokens: 9000,
 			Parts: []Part{{ID: "all", Tokens: 2500}, {ID: fmt.Sprint(i), Tokens: 3800}, {ID: "own", Tokens: 2700}},
 		}, now)
 		assert.True(t, l.Inputs.Home)
@@ -392,13 +392,13 @@
 func TestEnginesMemoryCounts(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, Tokens: 20000, Output: 500, Memory: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
-	b.SetOthers(map[ServerKey]Load{
-		KeyOf(routing.Life{ID: "i-0"}): {Running: 4, Memory: 75000}, KeyOf(routing.Life{ID: "i-1"}): {Running: 6, Memory: 40000},
+	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 20000, MaxOutputTokens: 500, EngineMemoryTokens: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
+	b.SetPeerLoads(map[ServerKey]Load{
+		KeyOf(routing.Life{ID: "i-0"}): {Running: 4, MemoryTokens: 75000}, KeyOf(routing.Life{ID: "i-1"}): {Running: 6, MemoryTokens: 40000},
 	}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
-	waiting := choice{Server: &routing.Server{Slots: 10}, load: Load{Running: 20, Memory: 100000}}
+	waiting := choice{Server: &routing.Server{Slots: 10}, load: Load{Running: 20, MemoryTokens: 100000}}
 	p := placing{query: q}
 	assert.Equal(t, 0, p.memoryOver(&waiting), "what waits takes no memory")
 }
@@ -418,7 +418,7 @@
 		q.Candidates, q.Hall = servers(10), "hall-9"
 		l, _ := b.Pick(q, now)
 		l.Done(ResultDone, now)
-		b.SetOthers(loads, map[ServiceKey]Demand{ServiceKeyOf("models"): {Bulk: 100000}}, now)
+		b.SetPeerLoads(loads, map[ServiceKey]Demand{ServiceKeyOf("models"): {Bulk: 100000}}, now)
 		l, _ = b.Pick(q, now.Add(100*time.Millisecond))
 		chosen[l.Server.ID]++
 	}
@@ -437,7 +437,7 @@
 	q := query(1, "part")
 	q.Candidates = before
 	served, _ := b.Pick(q, now)
-	served.Begun(now)
+	served.PrefillDone(now)
 	served.Done(ResultDone, now)
 	hanging, _ := b.Pick(q, now)
 	for range brokenInARow {
@@ -446,18 +446,18 @@
 	}
 	old := b.server(KeyOf(before[0].Life()), now)
 	require.True(t, now.Before(old.health.ejected))
-	b.SetOthers(map[ServerKey]Load{KeyOf(before[0].Life()): {Running: 9, Backlog: 50_000, Down: downLeast}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(before[0].Life()): {Running: 9, Backlog: 50_000, DownReports: downLeast}}, nil, now)
 
 	after := servers(1)
 	after[0].Started = 900 // Its clock went back.
 	q.Candidates = after
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
-	assert.Zero(t, l.Inputs.Cached)
+	assert.Zero(t, l.Inputs.CachedTokens)
 	assert.Zero(t, l.Inputs.Running)
-	assert.Zero(t, l.Inputs.OthersRunning)
-	assert.Zero(t, l.Inputs.Failures)
-	assert.Equal(t, q.Tokens, l.Inputs.Prefill)
+	assert.Zero(t, l.Inputs.PeerRunning)
+	assert.Zero(t, l.Inputs.FailureRatio)
+	assert.Equal(t, q.PromptTokens, l.Inputs.PrefillTokens)
 
 	hanging.Done(ResultFailed, now)
 	assert.Equal(t, 1, b.server(KeyOf(after[0].Life()), now).running, "the end of a request to the life before is not its own")
@@ -473,15 +473,15 @@
 	q := query(2, "part")
 	q.Candidates = list[:1]
 	l, _ := b.Pick(q, now)
-	l.Begun(now)
+	l.PrefillDone(now)
 	l.Done(ResultDone, now)
 
 	list[0].Started = 2000
 	q.Candidates = list
-	b.SetOthers(map[ServerKey]Load{KeyOf(list[0].Life()): {Backlog: 500_000}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Life()): {Backlog: 500_000}}, nil, now)
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
 	require.Equal(t, list[1].ID, l.Server.ID)
 	assert.Empty(t, l.Source)
-	assert.Zero(t, l.Inputs.Transferred)
+	assert.Zero(t, l.Inputs.TransferredTokens)
 }
--- a/pkg/balancer/choose.go
+++ b/pkg/balancer/choose.go
@@ -40,7 +40,7 @@
 }
 
 // toPrefill is how much of the prompt the server has to prefill.
-func (c *choice) toPrefill(q Query) int { return max(0, q.Tokens-c.cached-c.transferred) }
+func (c *choice) toPrefill(q Query) int { return max(0, q.PromptTokens-c.cached-c.transferred) }
 
 // choose picks the candidate with the least cost, by chance among equals. It returns
 // false if none is left.
@@ -108,18 +108,18 @@
 	var ejected []choice
 	for i, at := range list.at {
 		c := &q.Candidates[at]
-		if slices.Contains(q.Avoid, c.Life()) {
+		if slices.Contains(q.Exclude, c.Life()) {
 			continue
 		}
 		s := b.server(KeyOf(c.Life()), now)
 		state := b.signals.Of(s.key, now)
 		if state.Leaving {
-			q.Idle = append(slices.Clip(q.Idle), *c)
+			q.Draining = append(slices.Clip(q.Draining), *c)
 			continue
 		}
 		other := b.other(s.key, now)
 		limit := b.limitOf(q, c, s, state, other, now)
-		if !limit.None() && (q.Yield || !b.limiter.Allows(c.Life(), limit, now)) {
+		if !limit.None() && (q.SkipLimited || !b.limiter.Allows(c.Life(), limit, now)) {
 			continue
 		}
 		if state.Backoff == signals.BackingOff || state.Backoff == signals.HalfOpen && s.probing {
@@ -145,8 +145,8 @@
 // ejectedByOthers tells whether other boxes can't reach the server, or saw it fail again and
 // again, and this box has no better word of its own.
 func (c *choice) ejectedByOthers(other Load, now time.Time) bool {
-	failing := other.Failing >= failingLeast && c.failures >= ejectShare
-	return (other.Down >= downLeast || failing) && now.Sub(c.state.health.reached) > ownWord
+	failing := other.FailureReports >= failingLeast && c.failures >= ejectShare
+	return (other.DownReports >= downLeast || failing) && now.Sub(c.state.health.reached) > ownWord
 }
 
 // leastFailures is the share of failures of the best candidate.
--- a/pkg/balancer/cost.go
+++ b/pkg/balancer/cost.go
@@ -96,13 +96,13 @@
 	if best.prefilled >= shared.tokens {
 		return best
 	}
-	for i := range q.Idle {
-		s, known := b.servers[KeyOf(q.Idle[i].Life())]
+	for i := range q.Draining {
+		s, known := b.servers[KeyOf(q.Draining[i].Life())]
 		if !known {
 			continue
 		}
 		if _, prefilled := s.cached.longest(shared, now); prefilled > best.prefilled {
-			best = choice{Server: &q.Idle[i], state: s, prefilled: prefilled}
+			best = choice{Server: &q.Draining[i], state: s, prefilled: prefilled}
 		}
 	}
 	return best
@@ -115,7 +115,7 @@
 	c.cost += failureCost * c.failures
 	c.cost += p.prefixCost(c)
 	if c.Hall != p.query.Hall {
-		c.cost += byteCost * float64(p.query.Bytes+answerBytes)
+		c.cost += byteCost * float64(p.query.BodyBytes+answerBytes)
 	}
 	c.cost += rand.Float64() * p.spread
 }
@@ -148,14 +148,14 @@
 // memoryOver is how many tokens of memory the running requests and this one may take beyond
 // what the engine can well hold. Those that wait for a place take none.
 func (p *placing) memoryOver(c *choice) int {
-	if p.query.Memory == 0 {
+	if p.query.EngineMemoryTokens == 0 {
 		return 0
 	}
-	taken := c.load.Memory
+	taken := c.load.MemoryTokens
 	if c.Slots > 0 && c.load.Running > c.Slots {
 		taken = taken * c.Slots / c.load.Running
 	}
-	return max(0, taken+p.query.Tokens+p.query.Output-int(memoryShare*float64(p.query.Memory)))
+	return max(0, taken+p.query.PromptTokens+p.query.MaxOutputTokens-int(memoryShare*float64(p.query.EngineMemoryTokens)))
 }
 
 // unheard is how many tokens the other boxes may have sent to one server of a lane since
--- a/pkg/balancer/health.go
+++ b/pkg/balancer/health.go
@@ -120,11 +120,11 @@
 // failureShare is the share of recent calls of all boxes that failed, drawn towards none
 // while there are few.
 func (h *health) failureShare(others Load, now time.Time) float64 {
-	if h.failures == 0 && others.Failed == 0 {
+	if h.failures == 0 && others.ScaledFailures == 0 {
 		return 0
 	}
 	h.decay(now)
-	return (h.failures + float64(others.Failed)/countScale) / (h.calls + float64(others.Calls)/countScale + priorCalls)
+	return (h.failures + float64(others.ScaledFailures)/countScale) / (h.calls + float64(others.ScaledCalls)/countScale + priorCalls)
 }
 
 // brokenLeast is how much of a failure must be left to be told: less is as good as none.
@@ -138,11 +138,11 @@
 	}
 	h.decay(now)
 	if h.broken >= brokenLeast {
-		l.Failing = 1
-		l.Failed = scaled(h.broken)
+		l.FailureReports = 1
+		l.ScaledFailures = scaled(h.broken)
 	}
-	if l.Failing > 0 || othersFail {
-		l.Calls = scaled(h.calls)
+	if l.FailureReports > 0 || othersFail {
+		l.ScaledCalls = scaled(h.calls)
 	}
 }
 
--- a/pkg/balancer/lanes.go
+++ b/pkg/balancer/lanes.go
@@ -29,19 +29,19 @@
 type Demand struct {
 	Interactive float64
 	Bulk        float64
-	// Speeds adds up the speeds, in tokens a second, at which engines were seen to prefill,
+	// SpeedSum adds up the speeds, in tokens a second, at which engines were seen to prefill,
 	// one for each of so many Samples.
-	Speeds  float64
-	Samples int
-	// Waiting is what the requests that have had no event yet wait for.
-	Waiting Waiting
+	SpeedSum float64
+	Samples  int
+	// PendingPrefill is what the requests that have had no event yet wait for.
+	PendingPrefill PendingPrefill
 }
 
 // Plus is the demand of both.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{
 		Interactive: d.Interactive + o.Interactive, Bulk: d.Bulk + o.Bulk,
-		Speeds: d.Speeds + o.Speeds, Samples: d.Samples + o.Samples, Waiting: d.Waiting.plus(o.Waiting),
+		SpeedSum: d.SpeedSum + o.SpeedSum, Samples: d.Samples + o.Samples, PendingPrefill: d.PendingPrefill.plus(o.PendingPrefill),
 	}
 }
 
@@ -49,8 +49,8 @@
 func (d Demand) Minus(o Demand) Demand {
 	return Demand{
 		Interactive: max(0, d.Interactive-o.Interactive), Bulk: max(0, d.Bulk-o.Bulk),
-		Speeds: max(0, d.Speeds-o.Speeds), Samples: max(0, d.Samples-o.Samples),
-		Waiting: d.Waiting.minus(o.Waiting),
+		SpeedSum: max(0, d.SpeedSum-o.SpeedSum), Samples: max(0, d.Samples-o.Samples),
+		PendingPrefill: d.PendingPrefill.minus(o.PendingPrefill),
 	}
 }
 
@@ -63,7 +63,7 @@
 	if d.Samples < samplesLeast {
 		return 0
 	}
-	return d.Speeds / float64(d.Samples)
+	return d.SpeedSum / float64(d.Samples)
 }
 
 // of is the demand in one lane.
@@ -98,7 +98,7 @@
 	l.decay(now)
 	d := l.own
 	d.Samples = len(l.speed.samples)
-	d.Speeds = l.speed.tokensPerSecond() * float64(d.Samples)
+	d.SpeedSum = l.speed.tokensPerSecond() * float64(d.Samples)
 	return d
 }
 
--- a/pkg/balancer/lanes_test.go
+++ b/pkg/balancer/lanes_test.go
@@ -13,7 +13,7 @@
 func classQuery(class string, tokens int) Query {
 	return Query{
 		Candidates: servers(20), Hall: "hall-0", Engine: true, Service: "models", Class: class,
-		Tokens: tokens, Parts: []Part{{ID: "own", Tokens: tokens}},
+		PromptTokens: tokens, Parts: []Part{{ID: "own", Tokens: tokens}},
 	}
 }
 
@@ -34,7 +34,7 @@
 			used[class][l.Server.ID] = true
 		}
 		now = now.Add(100 * time.Millisecond)
-		l.Begun(now)
+		l.PrefillDone(now)
 		l.Done(ResultDone, now)
 	}
 	assert.NotEmpty(t, used["interactive"])
@@ -86,7 +86,7 @@
 			choices = append(choices, choice{Server: &list[i], state: b.server(KeyOf(list[i].Life()), now)})
 		}
 		l := lanes{classes: make(profiles), others: Demand{Interactive: 1, Bulk: 9}}
-		r := l.laneOf(Query{Class: "any", Tokens: 1000}, keysOf(nil, choices), now)
+		r := l.laneOf(Query{Class: "any", PromptTokens: 1000}, keysOf(nil, choices), now)
 		ids := make(map[string]bool)
 		for _, c := range choices {
 			if c.state.key <= r.most {
--- a/pkg/balancer/lease.go
+++ b/pkg/balancer/lease.go
@@ -13,28 +13,28 @@
 	// Candidates is how many servers there were to choose from.
 	Candidates int
 	// Running is how many requests of this box ran at the server, Backlog the tokens that
-	// it had to prefill for them; OthersRunning and OthersBacklog are those of the other
+	// it had to prefill for them; PeerRunning and PeerBacklog are those of the other
 	// boxes, LoadAge how old their word is, negative if none was heard.
-	Running       int
-	Backlog       int
-	OthersRunning int
-	OthersBacklog int
-	LoadAge       time.Duration
+	Running     int
+	Backlog     int
+	PeerRunning int
+	PeerBacklog int
+	LoadAge     time.Duration
 	// Prefix names the longest part of the prompt that others may share, and Home
 	// tells whether the server is the one where all boxes send it.
 	Prefix string
 	Home   bool
-	// Cached is what the server is believed to have cached of the prompt, in tokens,
+	// CachedTokens is what the server is believed to have cached of the prompt, in tokens,
 	// Transferred what it can take from another server, Prefill what is left.
-	Cached      int
-	Transferred int
-	Prefill     int
+	CachedTokens      int
+	TransferredTokens int
+	PrefillTokens     int
 	// Interactive tells that the class counts as interactive, Lane how many servers are
 	// set apart for those.
 	Interactive bool
-	Lane        int
-	// Failures is the share of recent calls that failed.
-	Failures float64
+	LaneSize    int
+	// FailureRatio is the share of recent calls that failed.
+	FailureRatio float64
 }
 
 // Lease is one call in progress at a server.
@@ -68,21 +68,21 @@
 func (l *Lease) occupy(q Query, c *choice, p *placing, now time.Time) {
 	s, b := l.state, l.balancer
 	l.service, l.class, l.rank = q.Service, q.Class, q.Rank
-	l.memory = q.Tokens + q.Output
+	l.memory = q.PromptTokens + q.MaxOutputTokens
 	l.backlog = c.toPrefill(q)
 	l.taken, l.alone = now, c.load.Backlog == 0 && c.transferred == 0
 	s.memory += l.memory
 	s.backlog += l.backlog
 	lanes := b.lanesOf(q.Service)
-	lanes.own.Waiting.add(l.rank, l.backlog)
+	lanes.own.PendingPrefill.add(l.rank, l.backlog)
 	lanes.note(p.lane.interactive, l.backlog, now)
-	lanes.classes.add(q.Class, l.backlog, q.Pause, now)
+	lanes.classes.add(q.Class, l.backlog, q.MaxEventInterval, now)
 	b.publishLoad(s)
 	b.publishPlacement(s, l.prefix, false, now)
 }
 
-// Begun says that the server has prefilled the prompt.
-func (l *Lease) Begun(now time.Time) {
+// PrefillDone says that the server has prefilled the prompt.
+func (l *Lease) PrefillDone(now time.Time) {
 	b := l.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +101,7 @@
 func (l *Lease) settle() {
 	l.state.backlog -= l.backlog
 	if l.service != "" {
-		l.balancer.lanesOf(l.service).own.Waiting.add(l.rank, -l.backlog)
+		l.balancer.lanesOf(l.service).own.PendingPrefill.add(l.rank, -l.backlog)
 	}
 	l.backlog = 0
 	l.balancer.publishLoad(l.state)
--- a/pkg/balancer/limits.go
+++ b/pkg/balancer/limits.go
@@ -51,14 +51,14 @@
 	if seenDown(s, others, now) {
 		s.down = now
 	}
-	if q.Unconfirmed && !s.down.IsZero() && now.Sub(s.down) < q.WarmUp.Time+returnMargin {
+	if q.ListStale && !s.down.IsZero() && now.Sub(s.down) < q.WarmUp.Time+returnMargin {
 		return true
 	}
-	return q.Warm != nil && now.Before(q.Warm(c))
+	return q.WarmUpEnd != nil && now.Before(q.WarmUpEnd(c))
 }
 
 // seenDown tells whether boxes agree that a server is down. The word of one box may be due to a cut
 // of its own.
 func seenDown(s *server, others Load, now time.Time) bool {
-	return others.Down >= downLeast || others.Down > 0 && s.health.down(now)
+	return others.DownReports >= downLeast || others.DownReports > 0 && s.health.down(now)
 }
--- a/pkg/balancer/limits_test.go
+++ b/pkg/balancer/limits_test.go
@@ -54,9 +54,9 @@
 	q.Candidates = q.Candidates[:1]
 	assert.Equal(t, map[string]int{"i-1": 1}, pickedOf(b, q, 100, now))
 	assert.Equal(t, q.Candidates, b.Unconstrained(q.Candidates, now), "a service whose servers are all limited has them still")
-	q.Yield = true
+	q.SkipLimited = true
 	assert.Empty(t, pickedOf(b, q, 100, now.Add(10*time.Second)), "others wait for it")
-	q.Yield = false
+	q.SkipLimited = false
 	assert.Equal(t, map[string]int{"i-1": 1}, pickedOf(b, q, 100, now.Add(10*time.Second)))
 }
 
@@ -65,19 +65,19 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{
-		Service: "models", Engine: true, Tokens: 9000, Candidates: []routing.Server{{ID: "i-1", Address: "1"}, {ID: "i-2", Address: "2"}},
+		Service: "models", Engine: true, PromptTokens: 9000, Candidates: []routing.Server{{ID: "i-1", Address: "1"}, {ID: "i-2", Address: "2"}},
 		Parts: []Part{{ID: "shared", Tokens: 8000}, {ID: "own", Tokens: 1000}},
 	}
 	first, ok := b.Pick(q, now)
 	require.True(t, ok)
-	first.Begun(now)
+	first.PrefillDone(now)
 	first.Done(ResultDone, now)
 	b.Signals().Observe(first.Server.Life(), signals.Signals{Leaving: true}, now, now)
 	second, ok := b.Pick(q, now)
 	require.True(t, ok)
 	assert.NotEqual(t, first.Server.ID, second.Server.ID)
 	assert.Equal(t, first.Server.Address, second.Source)
-	q.Avoid = []routing.Life{second.Server.Life()}
+	q.Exclude = []routing.Life{second.Server.Life()}
 	_, ok = b.Pick(q, now)
 	assert.False(t, ok, "nothing is left")
 	assert.Len(t, b.Unconstrained(q.Candidates, now), 1)
--- a/pkg/balancer/pooled_test.go
+++ b/pkg/balancer/pooled_test.go
@@ -53,15 +53,15 @@
 	}
 	b := New(log.NewNopLogger())
 	assert.InDelta(t, 0.5, share(b, now), 0.2, "it knows nothing")
-	b.SetOthers(told(others, now), nil, now)
+	b.SetPeerLoads(told(others, now), nil, now)
 	assert.Zero(t, share(b, now))
 	later := now.Add(5 * failureHalfLife)
-	b.SetOthers(told(others, later), nil, later)
+	b.SetPeerLoads(told(others, later), nil, later)
 	assert.InDelta(t, 0.5, share(b, later), 0.2, "old failures are forgotten")
 	callOn(b, 0, ResultDone, now)
-	b.SetOthers(told(others, now), nil, now)
+	b.SetPeerLoads(told(others, now), nil, now)
 	l, _ := b.Pick(Query{Candidates: servers(1)}, now)
-	assert.Greater(t, l.Inputs.Failures, 0.5)
+	assert.Greater(t, l.Inputs.FailureRatio, 0.5)
 	l.Done(ResultDone, now)
 }
 
@@ -75,12 +75,12 @@
 				callOn(unlucky, 0, r, now)
 			}
 			b := New(log.NewNopLogger())
-			b.SetOthers(told([]*Balancer{unlucky}, now), nil, now)
+			b.SetPeerLoads(told([]*Balancer{unlucky}, now), nil, now)
 			l, _ := b.Pick(Query{Candidates: servers(1)}, now)
 			l.Done(ResultAbandoned, now)
-			assert.False(t, (&choice{state: l.state, failures: l.Inputs.Failures}).ejectedByOthers(b.others[KeyOf(routing.Life{ID: "i-0"})], now))
+			assert.False(t, (&choice{state: l.state, failures: l.Inputs.FailureRatio}).ejectedByOthers(b.others[KeyOf(routing.Life{ID: "i-0"})], now))
 			if r == ResultUnreached {
-				assert.Zero(t, l.Inputs.Failures)
+				assert.Zero(t, l.Inputs.FailureRatio)
 			}
 		})
 	}
@@ -98,9 +98,9 @@
 		callOn(lucky, 0, ResultDone, now)
 	}
 	assert.Empty(t, lucky.Report(now).Loads, "without failures there is nothing to tell")
-	lucky.SetOthers(told([]*Balancer{unlucky}, now), nil, now)
-	b.SetOthers(told([]*Balancer{unlucky, lucky}, now), nil, now)
+	lucky.SetPeerLoads(told([]*Balancer{unlucky}, now), nil, now)
+	b.SetPeerLoads(told([]*Balancer{unlucky, lucky}, now), nil, now)
 	l, _ := b.Pick(Query{Candidates: servers(1)}, now)
-	assert.InDelta(t, 3.0/(63+priorCalls), l.Inputs.Failures, 0.01)
+	assert.InDelta(t, 3.0/(63+priorCalls), l.Inputs.FailureRatio, 0.01)
 	l.Done(ResultDone, now)
 }
--- a/pkg/balancer/query.go
+++ b/pkg/balancer/query.go
@@ -15,43 +15,43 @@
 // Query says what a server is wanted for.
 type Query struct {
 	Candidates []routing.Server
-	// Idle servers get no new work, but what they have cached can still be taken from them: they
+	// Draining servers get no new work, but what they have cached can still be taken from them: they
 	// leave, or their hall is evacuated.
-	Idle []routing.Server
+	Draining []routing.Server
 	// WarmUp is what a candidate bears while it warms up, Warm tells when it has done so; nil for
 	// candidates that all have.
-	WarmUp routing.WarmUp
-	Warm   func(*routing.Server) time.Time
-	// Unconfirmed says that the list of servers has not been confirmed for so long that starts of
+	WarmUp    routing.WarmUp
+	WarmUpEnd func(*routing.Server) time.Time
+	// ListStale says that the list of servers has not been confirmed for so long that starts of
 	// servers may be unknown.
-	Unconfirmed bool
+	ListStale bool
 	// Hall is where the box stands.
 	Hall string
 	// Parts are those of the prompt, in order. The last one is the request's own.
 	Parts []Part
-	// Output is the most tokens that may be generated, Memory how many tokens the memory of
+	// MaxOutputTokens is the most tokens that may be generated, Memory how many tokens the memory of
 	// one engine holds, zero if that is not known.
-	Output int
-	Memory int
-	// Tokens is the length of the prompt, Bytes that of the request's body.
-	Tokens int
-	Bytes  int
-	// Avoid lists servers that were tried before.
-	Avoid []routing.Life
+	MaxOutputTokens    int
+	EngineMemoryTokens int
+	// PromptTokens is the length of the prompt, Bytes that of the request's body.
+	PromptTokens int
+	BodyBytes    int
+	// Exclude lists servers that were tried before.
+	Exclude []routing.Life
 	// Rank is the urgency, 0 to routing.RankMost.
 	Rank int
-	// Places is the share of an engine's places that may be taken for the request to go there, as
+	// MaxOccupancy is the share of an engine's places that may be taken for the request to go there, as
 	// long as there is such an engine; zero for no bound.
-	Places float64
+	MaxOccupancy float64
 	// Engine marks model engines.
 	Engine bool
 	// Service and Class name what the request is for; requests of a class are alike.
 	Service string
 	Class   string
-	// Pause is the longest pause that the request's stream may have between events.
-	Pause time.Duration
-	// Yield leaves the rate of limited servers to other requests, which wait for it.
-	Yield bool
+	// MaxEventInterval is the longest pause that the request's stream may have between events.
+	MaxEventInterval time.Duration
+	// SkipLimited leaves the rate of limited servers to other requests, which wait for it.
+	SkipLimited bool
 	// Repeatable requests survive a failure of their server.
 	Repeatable bool
 }
--- a/pkg/balancer/share.go
+++ b/pkg/balancer/share.go
@@ -55,23 +55,23 @@
 	Backlog int
 	// Running is how many requests it has.
 	Running int
-	// Memory is how many tokens the running requests may take at the most, their prompts'
+	// MemoryTokens is how many tokens the running requests may take at the most, their prompts'
 	// included.
-	Memory int
-	// Down is how many boxes can't reach it.
-	Down int
-	// Failing is how many boxes have seen it fail. Failed and Calls count the recent calls
+	MemoryTokens int
+	// DownReports is how many boxes can't reach it.
+	DownReports int
+	// FailureReports is how many boxes have seen it fail. Failed and Calls count the recent calls
 	// that failed, and all of them, in parts of a call; older ones count less.
-	Failing int
-	Failed  int
-	Calls   int
+	FailureReports int
+	ScaledFailures int
+	ScaledCalls    int
 }
 
 // Plus is the load of both.
 func (l Load) Plus(o Load) Load {
 	return Load{
-		Backlog: l.Backlog + o.Backlog, Running: l.Running + o.Running, Memory: l.Memory + o.Memory, Down: l.Down + o.Down,
-		Failing: l.Failing + o.Failing, Failed: l.Failed + o.Failed, Calls: l.Calls + o.Calls,
+		Backlog: l.Backlog + o.Backlog, Running: l.Running + o.Running, MemoryTokens: l.MemoryTokens + o.MemoryTokens, DownReports: l.DownReports + o.DownReports,
+		FailureReports: l.FailureReports + o.FailureReports, ScaledFailures: l.ScaledFailures + o.ScaledFailures, ScaledCalls: l.ScaledCalls + o.ScaledCalls,
 	}
 }
 
@@ -80,8 +80,8 @@
 func (l Load) Minus(o Load) Load {
 	return Load{
 		Backlog: max(0, l.Backlog-o.Backlog), Running: max(0, l.Running-o.Running),
-		Memory: max(0, l.Memory-o.Memory), Down: max(0, l.Down-o.Down),
-		Failing: max(0, l.Failing-o.Failing), Failed: max(0, l.Failed-o.Failed), Calls: max(0, l.Calls-o.Calls),
+		MemoryTokens: max(0, l.MemoryTokens-o.MemoryTokens), DownReports: max(0, l.DownReports-o.DownReports),
+		FailureReports: max(0, l.FailureReports-o.FailureReports), ScaledFailures: max(0, l.ScaledFailures-o.ScaledFailures), ScaledCalls: max(0, l.ScaledCalls-o.ScaledCalls),
 	}
 }
 
@@ -123,9 +123,9 @@
 	for _, s := range b.servers {
 		l := s.load()
 		if s.health.down(now) {
-			l.Down = 1
+			l.DownReports = 1
 		}
-		s.health.report(&l, b.other(s.key, now).Failing > 0, now)
+		s.health.report(&l, b.other(s.key, now).FailureReports > 0, now)
 		s.reported = l
 		if l != (Load{}) {
 			r.Loads[s.key] = l
@@ -134,8 +134,8 @@
 	return r
 }
 
-// SetOthers takes in what all other boxes together have the servers do.
-func (b *Balancer) SetOthers(loads map[ServerKey]Load, demands map[ServiceKey]Demand, now time.Time) {
+// SetPeerLoads takes in what all other boxes together have the servers do.
+func (b *Balancer) SetPeerLoads(loads map[ServerKey]Load, demands map[ServiceKey]Demand, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others, b.othersHeard = loads, now
@@ -146,8 +146,8 @@
 	}
 }
 
-// NotePlacements takes in where other boxes have sent prompts.
-func (b *Balancer) NotePlacements(list []Placement, now time.Time) {
+// RecordPlacements takes in where other boxes have sent prompts.
+func (b *Balancer) RecordPlacements(list []Placement, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range list {
--- a/pkg/balancer/shortlist_test.go
+++ b/pkg/balancer/shortlist_test.go
@@ -29,7 +29,7 @@
 		assert.Equal(t, a.Server.ID, b.Server.ID)
 		homes[a.Server.ID]++
 		for _, l := range []*Lease{a, b} {
-			l.Begun(now)
+			l.PrefillDone(now)
 			l.Done(ResultDone, now)
 		}
 	}
@@ -41,11 +41,11 @@
 	b := New(log.NewNopLogger())
 	q := query(many, "shared")
 	at := KeyOf(q.Candidates[many/2].Life())
-	b.NotePlacements([]Placement{{Server: at, Parts: prefixOf(q.shared()).keys, Prefilled: true}}, now)
+	b.RecordPlacements([]Placement{{Server: at, Parts: prefixOf(q.shared()).keys, Prefilled: true}}, now)
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
 	assert.Equal(t, q.Candidates[many/2].ID, l.Server.ID)
-	assert.Equal(t, 8000, l.Inputs.Cached)
+	assert.Equal(t, 8000, l.Inputs.CachedTokens)
 }
 
 // busiest is the most requests that a server of so many gets of a thousand with one prefix.
@@ -63,7 +63,7 @@
 		require.True(t, ok)
 		running[l.Server.ID]++
 		most = max(most, running[l.Server.ID])
-		l.Begun(now)
+		l.PrefillDone(now)
 	}
 	return most
 }
@@ -81,8 +81,8 @@
 	for range 5 {
 		l, ok := b.Pick(q, now)
 		require.True(t, ok)
-		assert.NotContains(t, q.Avoid, l.Server.Life())
-		q.Avoid = append(q.Avoid, l.Server.Life())
+		assert.NotContains(t, q.Exclude, l.Server.Life())
+		q.Exclude = append(q.Exclude, l.Server.Life())
 		l.Done(ResultUnreached, now)
 	}
 }
--- a/pkg/balancer/workload.go
+++ b/pkg/balancer/workload.go
@@ -9,11 +9,11 @@
 
 // Workload is what all boxes have the servers of a service do.
 type Workload struct {
-	// Prefill is the tokens a second that they are asked to prefill.
-	Prefill float64
-	// Speed is how many tokens a second an engine prefills that does nothing else, zero if
+	// PrefillDemand is the tokens a second that they are asked to prefill.
+	PrefillDemand float64
+	// EngineSpeed is how many tokens a second an engine prefills that does nothing else, zero if
 	// that is not known yet.
-	Speed float64
+	EngineSpeed float64
 	// Running is how many requests the servers have, Slots how many they have places for.
 	Running int
 	Slots   int
@@ -29,7 +29,7 @@
 		if b.othersKnown(now) {
 			d = d.Plus(l.others)
 		}
-		w.Prefill, w.Speed = d.Interactive+d.Bulk, d.speed()
+		w.PrefillDemand, w.EngineSpeed = d.Interactive+d.Bulk, d.speed()
 	}
 	for i := range servers {
 		key := KeyOf(servers[i].Life())
--- a/pkg/balancer/workload_test.go
+++ b/pkg/balancer/workload_test.go
@@ -19,7 +19,7 @@
 	q := query(3, "part")
 	first, ok := b.Pick(q, now)
 	require.True(t, ok)
-	first.Begun(now)
+	first.PrefillDone(now)
 	first.Done(ResultDone, now)
 	var staying, leaving []routing.Server
 	for _, s := range q.Candidates {
@@ -29,12 +29,12 @@
 		}
 		staying = append(staying, s)
 	}
-	q.Candidates, q.Idle = staying, leaving
+	q.Candidates, q.Draining = staying, leaving
 	next, ok := b.Pick(q, now)
 	require.True(t, ok)
 	assert.Equal(t, first.Server.Address, next.Source)
 	assert.NotEqual(t, first.Server.ID, next.Server.ID)
-	assert.Less(t, next.Inputs.Prefill, first.Inputs.Prefill)
+	assert.Less(t, next.Inputs.PrefillTokens, first.Inputs.PrefillTokens)
 }
 
 // A workload holds what all boxes have the servers do, and the speed that all of them saw.
@@ -47,20 +47,20 @@
 		l, _ := two.Pick(q, now)
 		l.backlog = 10 * speedTokens
 		l.state.backlog = l.backlog
-		l.Begun(now.Add(time.Second))
+		l.PrefillDone(now.Add(time.Second))
 		l.Done(ResultDone, now.Add(time.Second))
 	}
 	l, _ := two.Pick(q, now)
 	defer l.Done(ResultDone, now)
-	assert.Zero(t, one.Workload(q.Service, q.Candidates, now).Speed)
+	assert.Zero(t, one.Workload(q.Service, q.Candidates, now).EngineSpeed)
 	own, _ := one.Pick(q, now)
 	defer own.Done(ResultDone, now)
 	r := two.Report(now)
-	one.SetOthers(r.Loads, r.Demands, now)
+	one.SetPeerLoads(r.Loads, r.Demands, now)
 	w := one.Workload(q.Service, q.Candidates, now)
 	assert.Equal(t, 2, w.Running)
-	assert.Positive(t, w.Prefill)
-	assert.InDelta(t, 10*speedTokens, w.Speed, speedTokens)
+	assert.Positive(t, w.PrefillDemand)
+	assert.InDelta(t, 10*speedTokens, w.EngineSpeed, speedTokens)
 	late := now.Add(2 * othersFor)
 	assert.Equal(t, 1, one.Workload(q.Service, q.Candidates, late).Running, "the others' word is too old")
 }
--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -43,11 +43,11 @@
 		// An outage is waited for.
 		return nil
 	}
-	turn, known := x.gateway.Balancer.Turn(x.service.Name, x.rank(), len(servers), now)
+	turn, known := x.gateway.Balancer.EstimateQueue(x.service.Name, x.rank(), len(servers), now)
 	most := x.waitMost()
-	x.expectedWait, x.keepPlaces = turn.Wait, turn.Urgent
+	x.expectedWait, x.keepPlaces = turn.Wait, turn.MoreUrgentSeen
 	late := known && most > 0 && turn.Wait > most
-	if !late && (turn.Passes || x.gateway.Balancer.HasPlace(servers, x.places(), now)) {
+	if !late && (turn.Overtakes || x.gateway.Balancer.HasFreeSlot(servers, x.places(), now)) {
 		return nil
 	}
 	after := x.comeBack(turn.Wait)
--- a/pkg/gateway/answer.go
+++ b/pkg/gateway/answer.go
@@ -53,7 +53,7 @@
 		resp.Close(false)
 		return &failure{result: balancer.ResultFailed, broken: true, cause: err}, nil
 	}
-	lease.Begun(clock.Now())
+	lease.PrefillDone(clock.Now())
 	if !complete {
 		return x.passLong(resp, body)
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -192,7 +192,7 @@
 	defer giveUp(nil)
 	defer context.AfterFunc(x.gateway.ending, func() { giveUp(errEnding) })()
 	defer x.gateway.enter(x, giveUp)()
-	x.gateway.Budget.Request(x.service.Name, x.arrival)
+	x.gateway.Budget.RecordRequest(x.service.Name, x.arrival)
 	defer x.stopQueueing()
 	return x.run(ctx)
 }
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -139,7 +139,7 @@
 // one is again.
 func (x *exchange) afterRefusal(now time.Time) time.Duration {
 	q := x.query(now)
-	q.Avoid = nil
+	q.Exclude = nil
 	if a := x.gateway.Balancer.Availability(q, now); a.Available == 0 {
 		if wait, known := x.untilAvailable(a, now); known {
 			return x.stayAway(wait, now)
@@ -198,26 +198,26 @@
 	// Each attempt asks for the list of now, not of the request's arrival.
 	view := x.gateway.Directory.View()
 	return balancer.Query{
-		Candidates:  x.candidates(view, now),
-		Idle:        x.allowed(view.Idle(x.service.Name)),
-		WarmUp:      x.service.WarmUp,
-		Unconfirmed: view.ServersAge(now) > directory.OutageLeast,
-		Warm:        func(s *routing.Server) time.Time { return view.Warm(s, x.service.WarmUp) },
-		Hall:        x.gateway.Hall,
-		Parts:       x.call.Parts,
-		Tokens:      x.call.PromptTokens,
-		Output:      x.call.OutputTokens,
-		Memory:      x.service.MemoryTokens,
-		Bytes:       len(x.body),
-		Avoid:       x.tried(),
-		Rank:        x.rank(),
-		Places:      x.places(),
-		Engine:      x.service.Engine,
-		Service:     x.service.Name,
-		Class:       x.route.Name,
-		Pause:       x.route.BetweenTarget,
-		Yield:       x.yields(),
-		Repeatable:  x.route.Repeatable() && len(x.servers)+1 < x.route.MaxAttempts,
+		Candidates:         x.candidates(view, now),
+		Draining:           x.allowed(view.Idle(x.service.Name)),
+		WarmUp:             x.service.WarmUp,
+		ListStale:          view.ServersAge(now) > directory.OutageLeast,
+		WarmUpEnd:          func(s *routing.Server) time.Time { return view.Warm(s, x.service.WarmUp) },
+		Hall:               x.gateway.Hall,
+		Parts:              x.call.Parts,
+		PromptTokens:       x.call.PromptTokens,
+		MaxOutputTokens:    x.call.OutputTokens,
+		EngineMemoryTokens: x.service.MemoryTokens,
+		BodyBytes:          len(x.body),
+		Exclude:            x.tried(),
+		Rank:               x.rank(),
+		MaxOccupancy:       x.places(),
+		Engine:             x.service.Engine,
+		Service:            x.service.Name,
+		Class:              x.route.Name,
+		MaxEventInterval:   x.route.BetweenTarget,
+		SkipLimited:        x.yields(),
+		Repeatable:         x.route.Repeatable() && len(x.servers)+1 < x.route.MaxAttempts,
 	}
 }
 
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -27,7 +27,7 @@
 		events, cutErr := cutter.add(buffer[:n])
 		if len(events) > 0 {
 			x.noteRun(clock.Now())
-			lease.Begun(clock.Now())
+			lease.PrefillDone(clock.Now())
 			if werr := x.sendEvents(resp, events); werr != nil {
 				resp.Close(false)
 				return nil, &callerGoneError{Cause: werr}
--- a/pkg/loadshare/message.go
+++ b/pkg/loadshare/message.go
@@ -87,14 +87,14 @@
 		}
 		if l.Backlog > 0 || l.Running > 0 {
 			m.Servers, m.Backlog = append(m.Servers, uint32(key)), append(m.Backlog, uint32(l.Backlog))
-			m.Running, m.Memory = append(m.Running, uint32(l.Running)), append(m.Memory, uint32(l.Memory))
+			m.Running, m.Memory = append(m.Running, uint32(l.Running)), append(m.Memory, uint32(l.MemoryTokens))
 		}
-		if l.Down > 0 {
-			m.Down, m.Boxes = append(m.Down, uint32(key)), append(m.Boxes, uint32(l.Down))
+		if l.DownReports > 0 {
+			m.Down, m.Boxes = append(m.Down, uint32(key)), append(m.Boxes, uint32(l.DownReports))
 		}
-		if l.Calls > 0 {
-			m.Failing, m.FailingBoxes = append(m.Failing, uint32(key)), append(m.FailingBoxes, uint32(l.Failing))
-			m.Failed, m.Calls = append(m.Failed, uint32(l.Failed)), append(m.Calls, uint32(l.Calls))
+		if l.ScaledCalls > 0 {
+			m.Failing, m.FailingBoxes = append(m.Failing, uint32(key)), append(m.FailingBoxes, uint32(l.FailureReports))
+			m.Failed, m.Calls = append(m.Failed, uint32(l.ScaledFailures)), append(m.Calls, uint32(l.ScaledCalls))
 		}
 	}
 	for i, m := range list {
@@ -105,9 +105,9 @@
 
 func encodeDemand(key balancer.ServiceKey, d balancer.Demand) *loadpb.Demand {
 	p := &loadpb.Demand{
-		Service: uint32(key), Interactive: uint32(d.Interactive), Bulk: uint32(d.Bulk), Speeds: float32(d.Speeds), Samples: uint32(d.Samples),
+		Service: uint32(key), Interactive: uint32(d.Interactive), Bulk: uint32(d.Bulk), Speeds: float32(d.SpeedSum), Samples: uint32(d.Samples),
 	}
-	for rank, tokens := range d.Waiting {
+	for rank, tokens := range d.PendingPrefill {
 		if tokens > 0 {
 			p.WaitingRanks, p.Waiting = append(p.WaitingRanks, uint32(rank)), append(p.Waiting, uint32(tokens))
 		}
@@ -118,11 +118,11 @@
 // decodeDemand reads a demand. Ranks that are none are left out.
 func decodeDemand(p *loadpb.Demand) balancer.Demand {
 	d := balancer.Demand{
-		Interactive: float64(p.GetInteractive()), Bulk: float64(p.GetBulk()), Speeds: float64(max(0, p.GetSpeeds())), Samples: bounded(p.GetSamples()),
+		Interactive: float64(p.GetInteractive()), Bulk: float64(p.GetBulk()), SpeedSum: float64(max(0, p.GetSpeeds())), Samples: bounded(p.GetSamples()),
 	}
 	for i, rank := range p.GetWaitingRanks() {
-		if int(rank) < len(d.Waiting) && i < len(p.GetWaiting()) {
-			d.Waiting[rank] = bounded(p.GetWaiting()[i])
+		if int(rank) < len(d.PendingPrefill) && i < len(p.GetWaiting()) {
+			d.PendingPrefill[rank] = bounded(p.GetWaiting()[i])
 		}
 	}
 	return d
@@ -172,19 +172,19 @@
 		l := to[balancer.ServerKey(key)]
 		l.Backlog = bounded(m.GetBacklog()[i])
 		l.Running = bounded(m.GetRunning()[i])
-		l.Memory = bounded(m.GetMemory()[i])
+		l.MemoryTokens = bounded(m.GetMemory()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 	for i, key := range m.GetDown() {
 		l := to[balancer.ServerKey(key)]
-		l.Down = bounded(m.GetBoxes()[i])
+		l.DownReports = bounded(m.GetBoxes()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 	for i, key := range m.GetFailing() {
 		l := to[balancer.ServerKey(key)]
-		l.Failing = bounded(m.GetFailingBoxes()[i])
-		l.Failed = bounded(m.GetFailed()[i])
-		l.Calls = bounded(m.GetCalls()[i])
+		l.FailureReports = bounded(m.GetFailingBoxes()[i])
+		l.ScaledFailures = bounded(m.GetFailed()[i])
+		l.ScaledCalls = bounded(m.GetCalls()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 }
--- a/pkg/loadshare/sharer.go
+++ b/pkg/loadshare/sharer.go
@@ -183,7 +183,7 @@
 func (s *Sharer) place(in message) {
 	list := placementsOf(in.placements.GetPlacements())
 	if in.from != s.Box {
-		s.Balancer.NotePlacements(list, in.received)
+		s.Balancer.RecordPlacements(list, in.received)
 	}
 	switch {
 	case in.kind == kindPlaced:
@@ -260,7 +260,7 @@
 // itself.
 func (s *Sharer) setOthers(total work, now time.Time) {
 	others := total.without(s.reported)
-	s.Balancer.SetOthers(others.loads, others.demands, now)
+	s.Balancer.SetPeerLoads(others.loads, others.demands, now)
 	s.Balancer.Signals().MergeRemote(total.signals, now)
 }
 
--- a/pkg/loadshare/sharer_test.go
+++ b/pkg/loadshare/sharer_test.go
@@ -88,7 +88,7 @@
 // prompt asks for a server of the model for a prompt with a shared prefix.
 func prompt(servers int, prefix string) balancer.Query {
 	q := balancer.Query{
-		Engine: true, Tokens: 9000, Hall: "hall-0",
+		Engine: true, PromptTokens: 9000, Hall: "hall-0",
 		Parts: []balancer.Part{{ID: prefix, Tokens: 8000}, {ID: "own", Tokens: 1000}},
 	}
 	for i := range servers {
@@ -102,7 +102,7 @@
 func (b *box) others() int {
 	l, _ := b.balancer.Pick(prompt(1, "probe"), time.Now())
 	defer l.Done(balancer.ResultAbandoned, time.Now())
-	return l.Inputs.OthersBacklog
+	return l.Inputs.PeerBacklog
 }
 
 func TestAllBoxesKnowAllLoads(t *testing.T) {
@@ -125,7 +125,7 @@
 		for i := range 200 {
 			name := fmt.Sprintf("part-%d", i)
 			lease, _ := x.boxes[i%12].balancer.Pick(prompt(9, name), time.Now())
-			lease.Begun(time.Now())
+			lease.PrefillDone(time.Now())
 			lease.Done(balancer.ResultDone, time.Now())
 		}
 		for i, b := range x.boxes {
@@ -147,7 +147,7 @@
 	q.Engine = false
 	l, _ := b.balancer.Pick(q, time.Now())
 	l.Done(balancer.ResultAbandoned, time.Now())
-	return l.Inputs.Cached == 8000 && !l.Inputs.Home
+	return l.Inputs.CachedTokens == 8000 && !l.Inputs.Home
 }
 
 // What happens just after a summary reaches all boxes, also those of other halls, though
@@ -156,7 +156,7 @@
 	withFleet(t, 12, 3, func(x *fleet) {
 		for i := range 200 {
 			lease, _ := x.boxes[i%12].balancer.Pick(prompt(9, fmt.Sprintf("part-%d", i)), time.Now())
-			lease.Begun(time.Now())
+			lease.PrefillDone(time.Now())
 			lease.Done(balancer.ResultDone, time.Now())
 		}
 		// A look makes a box report, so that there is one only, long after all has arrived.
@@ -234,7 +234,7 @@
 	for i := range 2*loadsMost + 1 {
 		all[balancer.ServerKey(i)] = balancer.Load{Backlog: i + 1}
 	}
-	all[0] = balancer.Load{Backlog: 1, Down: 3}
+	all[0] = balancer.Load{Backlog: 1, DownReports: 3}
 	now := time.Now()
 	said := signals.Observations{
 		1: {Limit: signals.Limit{Set: true, PerSecond: 2.3}, At: now.Add(-time.Second)}, 2: {At: now.Add(-2 * time.Second)}, 3: {Leaving: true, At: now},
@@ -261,21 +261,21 @@
 func TestSumsHoldEachBoxOnce(t *testing.T) {
 	now := time.Now()
 	table := workTable{
-		"a":   {work: work{loads: loads{1: {Backlog: 3, Down: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}}, heard: now},
+		"a":   {work: work{loads: loads{1: {Backlog: 3, DownReports: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}}, heard: now},
 		"b":   {work: work{loads: loads{1: {Backlog: 4}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 10}}}, heard: now},
 		"old": {work: work{loads: loads{1: {Backlog: 100}}}, heard: now.Add(-believed - time.Second)},
 	}
 	total := table.sum(now)
-	assert.Equal(t, work{loads: loads{1: {Backlog: 7, Down: 1}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 11, Bulk: 2}}, signals: signals.Observations{}}, total)
-	assert.Equal(t, work{loads: loads{1: {Backlog: 3, Down: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}, signals: signals.Observations{}}, total.without(table["b"].work))
-	younger := work{loads: loads{1: {Backlog: 8, Down: 2}}}
+	assert.Equal(t, work{loads: loads{1: {Backlog: 7, DownReports: 1}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 11, Bulk: 2}}, signals: signals.Observations{}}, total)
+	assert.Equal(t, work{loads: loads{1: {Backlog: 3, DownReports: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}, signals: signals.Observations{}}, total.without(table["b"].work))
+	younger := work{loads: loads{1: {Backlog: 8, DownReports: 2}}}
 	assert.Equal(t, loads{2: {Backlog: 5}}, total.without(younger).loads, "the total holds an older word")
 	table.forget(now)
 	assert.Len(t, table, 2)
 }
 
 func FuzzMessages(f *testing.F) {
-	for _, m := range split("hall", 1, work{loads: loads{1: {Backlog: 5}, 2: {Down: 2}}, demands: demands{3: {Interactive: 1}}, signals: signals.Observations{4: {}}}, time.Now()) {
+	for _, m := range split("hall", 1, work{loads: loads{1: {Backlog: 5}, 2: {DownReports: 2}}, demands: demands{3: {Interactive: 1}}, signals: signals.Observations{4: {}}}, time.Now()) {
 		body, _ := proto.Marshal(m)
 		f.Add(body)
 	}
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -40,8 +40,8 @@
 	b.limits = l
 }
 
-// Request counts a request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest counts a request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counter(service, now).requests[0]++
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -20,7 +20,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request("calls", now)
+				b.RecordRequest("calls", now)
 				requests = append(requests, now)
 				continue
 			}
--- a/pkg/routerd/scaledservices.go
+++ b/pkg/routerd/scaledservices.go
@@ -60,10 +60,10 @@
 	}
 	l := autoscale.Load{Busy: float64(w.Running) * float64(servers) / float64(w.Slots), Known: true}
 	if s.Engine {
-		if w.Speed == 0 {
+		if w.EngineSpeed == 0 {
 			return autoscale.Load{}
 		}
-		l.Busy, l.Speed = max(l.Busy, w.Prefill/w.Speed), w.Speed
+		l.Busy, l.Speed = max(l.Busy, w.PrefillDemand/w.EngineSpeed), w.EngineSpeed
 	}
 	l.Busy += float64(limited)
 	return l
