--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,5 +1,4 @@
-// Package retry holds the budget from which every sending of a request beyond its
-// first is paid.
+// Package retry implements the budget for sending a request more than once.
 package retry
 
 import (
@@ -7,30 +6,30 @@
 	"time"
 )
 
-// Limits are the bounds on the sendings to one service beyond the first, within
-// any window: Ratio of the requests, and this box's part of the fleet's slack.
+// Limits bound the retries to one service within any window: Ratio of the requests, plus Slack,
+// which is this box's share of the fleet's slack.
 type Limits struct {
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
 }
 
-// parts is the number of slots that a window is counted in.
-const parts = 10
+// slotsPerWindow is the number of time slots in a window.
+const slotsPerWindow = 10
 
-// Budget counts requests and repeats by service.
+// Budget counts requests and retries by service.
 type Budget struct {
 	mu       sync.Mutex
 	limits   Limits
-	services map[string]*counter
+	services map[string]*windowCounter
 }
 
 // NewBudget returns an empty budget.
 func NewBudget(l Limits) *Budget {
-	return &Budget{limits: l, services: make(map[string]*counter)}
+	return &Budget{limits: l, services: make(map[string]*windowCounter)}
 }
 
-// SetLimits replaces the limits.
+// SetLimits replaces the limits. A new window length resets the counts.
 func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,37 +46,38 @@
 	b.counter(service, now).requests[0]++
 }
 
-// Spend takes one repeat from the budget, if there is one left.
+// Spend takes one retry from the budget and reports whether one was left.
 func (b *Budget) Spend(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counter(service, now)
-	if sum(c.repeats[:])+1 > b.limits.Ratio*sum(c.requests[:parts])+b.limits.Slack {
+	if sum(c.retries[:])+1 > b.limits.Ratio*sum(c.requests[:slotsPerWindow])+b.limits.Slack {
 		return false
 	}
-	c.repeats[0]++
+	c.retries[0]++
 	return true
 }
 
-func (b *Budget) counter(service string, now time.Time) *counter {
+func (b *Budget) counter(service string, now time.Time) *windowCounter {
 	c, ok := b.services[service]
 	if !ok {
-		c = &counter{}
+		c = &windowCounter{}
 		b.services[service] = c
 	}
-	c.advance(now, b.limits.Window/parts)
+	c.advance(now, b.limits.Window/slotsPerWindow)
 	return c
 }
 
-// counter counts in slots of time, the newest first. It holds one slot more than a
-// window has, so that any window is covered; requests use only the window itself.
-type counter struct {
+// windowCounter counts in time slots, the newest first. It holds one slot more than a window, so
+// that retries are counted over any full window; requests are counted over slotsPerWindow slots
+// only.
+type windowCounter struct {
 	start    time.Time
-	requests [parts + 1]float64
-	repeats  [parts + 1]float64
+	requests [slotsPerWindow + 1]float64
+	retries  [slotsPerWindow + 1]float64
 }
 
-func (c *counter) advance(now time.Time, slot time.Duration) {
+func (c *windowCounter) advance(now time.Time, slot time.Duration) {
 	if c.start.IsZero() || slot <= 0 {
 		c.start = now
 		return
@@ -88,10 +88,10 @@
 	}
 	c.start = c.start.Add(time.Duration(n) * slot)
 	shift(&c.requests, n)
-	shift(&c.repeats, n)
+	shift(&c.retries, n)
 }
 
-func shift(list *[parts + 1]float64, n int) {
+func shift(list *[slotsPerWindow + 1]float64, n int) {
 	n = min(n, len(list))
 	copy(list[n:], list[:len(list)-n])
 	clear(list[:n])
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -10,13 +10,13 @@
 
 var limits = Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 3}
 
-// In any window, repeats stay within the ratio of the requests of that window, or of
-// one that began up to a whole window before, and the slack.
+// Retries in any window stay within the slack plus the ratio of the requests in that window,
+// widened by one slot.
 func TestBudgetHoldsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(limits)
 		now := time.Now()
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
@@ -25,15 +25,15 @@
 				continue
 			}
 			if b.Spend("calls", now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			from := end.Add(-limits.Window)
-			// The budget counts in slots, so that its window may begin one later.
-			allowed := limits.Slack + limits.Ratio*float64(count(requests, from.Add(-limits.Window/parts), end))
-			if got := float64(count(repeats, from, end)); got > allowed {
-				t.Fatalf("%v repeats in a window that allows %v", got, allowed)
+			// The budget counts in slots, so its window may start up to one slot earlier.
+			allowed := limits.Slack + limits.Ratio*float64(count(requests, from.Add(-limits.Window/slotsPerWindow), end))
+			if got := float64(count(retries, from, end)); got > allowed {
+				t.Fatalf("%v retries in a window that allows %v", got, allowed)
 			}
 		}
 	})
@@ -49,7 +49,7 @@
 	return n
 }
 
-func TestBudgetsOfServicesAreApart(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	b := NewBudget(limits)
 	now := time.Now()
 	for b.Spend("calls", now) {
@@ -57,7 +57,7 @@
 	assert.True(t, b.Spend("models", now))
 }
 
-func TestBudgetComesBackAfterItsWindow(t *testing.T) {
+func TestBudgetRecoversAfterWindow(t *testing.T) {
 	b := NewBudget(limits)
 	now := time.Now()
 	for b.Spend("calls", now) {
@@ -66,12 +66,12 @@
 	assert.True(t, b.Spend("calls", now.Add(limits.Window+2*time.Second)))
 }
 
-func TestShareThatShrinksHoldsAtOnce(t *testing.T) {
+func TestReducedSlackAppliesAtOnce(t *testing.T) {
 	b := NewBudget(limits)
 	now := time.Now()
 	assert.True(t, b.Spend("calls", now))
-	less := limits
-	less.Slack = 1
-	b.SetLimits(less)
-	assert.False(t, b.Spend("calls", now), "what was spent before still counts")
+	reduced := limits
+	reduced.Slack = 1
+	b.SetLimits(reduced)
+	assert.False(t, b.Spend("calls", now), "earlier retries still count")
 }
