--- a/pkg/balancer/admission.go
+++ b/pkg/balancer/admission.go
@@ -6,143 +6,145 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// PendingPrefill is how many tokens wait to be prefilled for requests of each rank.
+// PendingPrefill is the number of tokens waiting to be prefilled, by request rank.
 type PendingPrefill [routing.RankMost + 1]int
 
-// add counts tokens of a rank, fewer than none for those that wait no more.
-func (w *PendingPrefill) add(rank, tokens int) { w[rank] = max(0, w[rank]+tokens) }
+// add adds tokens of a rank; a negative number removes them.
+func (p *PendingPrefill) add(rank, tokens int) { p[rank] = max(0, p[rank]+tokens) }
 
-// plus is what waits in both.
-func (w PendingPrefill) plus(o PendingPrefill) PendingPrefill {
-	for rank := range w {
-		w[rank] += o[rank]
+// plus returns the sum of w and o.
+func (p PendingPrefill) plus(o PendingPrefill) PendingPrefill {
+	for rank := range p {
+		p[rank] += o[rank]
 	}
-	return w
+	return p
 }
 
-// minus is what waits without a part of it, which may be newer than the whole.
-func (w PendingPrefill) minus(o PendingPrefill) PendingPrefill {
-	for rank := range w {
-		w[rank] = max(0, w[rank]-o[rank])
+// minus returns w without o. Counts do not go below zero, as o may be more recent than w.
+func (p PendingPrefill) minus(o PendingPrefill) PendingPrefill {
+	for rank := range p {
+		p[rank] = max(0, p[rank]-o[rank])
 	}
-	return w
+	return p
 }
 
-// before is how many tokens are prefilled before those of a new request of a rank: engines take
-// the more urgent first, and among equals the one that came first.
-func (w *PendingPrefill) before(rank int) int {
+// aheadOf returns the tokens that are prefilled before those of a new request of the rank: engines
+// serve lower ranks first, and requests of equal rank in order of arrival.
+func (p *PendingPrefill) aheadOf(rank int) int {
 	sum := 0
-	for _, tokens := range w[:rank+1] {
+	for _, tokens := range p[:rank+1] {
 		sum += tokens
 	}
 	return sum
 }
 
-// QueueEstimate is when a new request of a rank has its turn at the engines of a service.
+// QueueEstimate is the expected queueing of a new request at the engines of a service.
 type QueueEstimate struct {
-	// Wait is how long the engines need for what is before it.
+	// Wait is how long the engines need to prefill what is ahead of the request.
 	Wait time.Duration
-	// Overtakes tells that more waits which is less urgent than what is before it: the engines take
-	// the request before that, though it holds places already.
+	// Overtakes reports that more tokens are queued behind the request than ahead of it: engines
+	// prefill it before less urgent requests that already occupy slots.
 	Overtakes bool
-	// MoreUrgentSeen tells that more urgent requests came of late, for which places are to be kept.
+	// MoreUrgentSeen reports that more urgent requests arrived recently, so that slots should be
+	// reserved for them.
 	MoreUrgentSeen bool
 }
 
 const (
-	// urgentFor is how long a rank counts as one whose requests come.
-	urgentFor = 10 * time.Second
-	// placesFew is how many places an engine has of which none are kept: a share of fewer is a
-	// place or two, and what waits for one has it soon.
-	placesFew = 8
+	// urgentWindow is how long a request counts as a recent arrival of its rank.
+	urgentWindow = 10 * time.Second
+	// minSlotsToReserve is the number of slots below which an engine reserves none: a share of so
+	// few is only one or two slots, and waiting for one is short.
+	minSlotsToReserve = 8
 )
 
-// ranksSeen is when requests came to this box.
-type ranksSeen struct {
-	// first is when any came, latest when one of each rank last did.
+// rankArrivals records when requests of each rank arrived at this box.
+type rankArrivals struct {
+	// first is the time of the first arrival of any rank, latest the last one of each rank.
 	first  time.Time
 	latest [routing.RankMost + 1]time.Time
 }
 
-func (s *ranksSeen) note(rank int, now time.Time) {
-	if s.first.IsZero() {
-		s.first = now
+func (a *rankArrivals) record(rank int, now time.Time) {
+	if a.first.IsZero() {
+		a.first = now
 	}
-	s.latest[rank] = now
+	a.latest[rank] = now
 }
 
-// urgent tells whether requests that are more urgent than a rank came of late. A box that has not
-// looked for long enough takes it that they do: most overloads hit boxes that have just started.
-func (s *ranksSeen) urgent(rank int, now time.Time) bool {
-	if rank > 0 && now.Sub(s.first) < urgentFor {
+// moreUrgentSeen reports whether requests more urgent than the rank arrived within urgentWindow. A
+// box that has observed arrivals for less than that assumes that they did, because most overloads
+// hit boxes that have just started.
+func (a *rankArrivals) moreUrgentSeen(rank int, now time.Time) bool {
+	if rank > 0 && now.Sub(a.first) < urgentWindow {
 		return true
 	}
-	for _, at := range s.latest[:rank] {
-		if !at.IsZero() && now.Sub(at) < urgentFor {
+	for _, at := range a.latest[:rank] {
+		if !at.IsZero() && now.Sub(at) < urgentWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// EstimateQueue estimates when a new request of a rank has its turn at the engines of a service, with so
-// many servers that take work. It returns false while too little is known.
+// EstimateQueue records the arrival of a request and estimates its queueing at the engines of a
+// service, given the number of servers that accept work. It returns false if the prefill speed is
+// unknown.
 func (b *Balancer) EstimateQueue(service string, rank, servers int, now time.Time) (QueueEstimate, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.lanesOf(service)
-	l.seen.note(rank, now)
-	turn := QueueEstimate{MoreUrgentSeen: l.seen.urgent(rank, now)}
-	d := l.report(now)
-	if b.othersKnown(now) {
-		d = d.Plus(l.others)
+	stats := b.statsOf(service)
+	stats.arrivals.record(rank, now)
+	estimate := QueueEstimate{MoreUrgentSeen: stats.arrivals.moreUrgentSeen(rank, now)}
+	demand := stats.demand(now)
+	if b.peerLoadsFresh(now) {
+		demand = demand.Plus(stats.peers)
 	}
-	speed := d.speed() * float64(servers)
+	speed := demand.speed() * float64(servers)
 	if speed == 0 {
-		return turn, false
+		return estimate, false
 	}
-	before, all := d.PendingPrefill.before(rank), d.PendingPrefill.before(routing.RankMost)
-	turn.Wait = time.Duration(float64(before) / speed * float64(time.Second))
-	turn.Overtakes = all-before > before
-	return turn, true
+	ahead, total := demand.PendingPrefill.aheadOf(rank), demand.PendingPrefill.aheadOf(routing.RankMost)
+	estimate.Wait = time.Duration(float64(ahead) / speed * float64(time.Second))
+	estimate.Overtakes = total-ahead > ahead
+	return estimate, true
 }
 
-// hasPlace tells whether a request may go to a server by the places that are taken there.
-func hasPlace(s *routing.Server, l Load, places float64) bool {
-	return s.Slots < placesFew || float64(l.Running) < places*float64(s.Slots)
+// hasFreeSlot reports whether the server's occupancy permits a request with the given limit.
+func hasFreeSlot(s *routing.Server, l Load, maxOccupancy float64) bool {
+	return s.Slots < minSlotsToReserve || float64(l.Running) < maxOccupancy*float64(s.Slots)
 }
 
-// withPlaces leaves out engines on which too many places are taken for a request; if that leaves
-// none, it leaves out none.
-func withPlaces(q Query, choices []choice) []choice {
+// withFreeSlots filters out engines whose occupancy exceeds the query's limit. If none remain, it
+// returns all choices.
+func withFreeSlots(q Query, choices []choice) []choice {
 	if !q.Engine || q.MaxOccupancy == 0 {
 		return choices
 	}
-	fit := make([]choice, 0, len(choices))
+	eligible := make([]choice, 0, len(choices))
 	for i := range choices {
-		if hasPlace(choices[i].Server, choices[i].load, q.MaxOccupancy) {
-			fit = append(fit, choices[i])
+		if hasFreeSlot(choices[i].Server, choices[i].load, q.MaxOccupancy) {
+			eligible = append(eligible, choices[i])
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return choices
 	}
-	return fit
+	return eligible
 }
 
-// HasFreeSlot tells whether any of some engines has a place for a request that may go where a share
-// of the places is taken.
-func (b *Balancer) HasFreeSlot(servers []routing.Server, places float64, now time.Time) bool {
+// HasFreeSlot reports whether any of the servers has a slot for a request limited to maxOccupancy.
+func (b *Balancer) HasFreeSlot(servers []routing.Server, maxOccupancy float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range servers {
 		s := &servers[i]
 		key := KeyOf(s.Life())
-		l := b.other(key, now)
+		l := b.peerLoad(key, now)
 		if own, ok := b.servers[key]; ok {
 			l = l.Plus(own.load())
 		}
-		if hasPlace(s, l, places) {
+		if hasFreeSlot(s, l, maxOccupancy) {
 			return true
 		}
 	}
--- a/pkg/balancer/availability.go
+++ b/pkg/balancer/availability.go
@@ -8,25 +8,26 @@
 	"headhill.example/headhill/pkg/signals"
 )
 
-// Availability counts the candidates of a query by what keeps requests from them. Those that leave, and
-// those that were tried before, do not count.
+// Availability counts the candidates of a query by what prevents requests to them. Servers that
+// are leaving and those in Query.Exclude are not counted.
 type Availability struct {
-	// Available is how many nothing keeps requests from.
+	// Available is the number of candidates without a constraint.
 	Available int
-	// Limited is how many signal a rate limit, PerSecond how many requests this box may send them all in
-	// a second, NextToken when it may send the next one; zero if it sends them none.
+	// Limited is the number of candidates that signal a rate limit. PerSecond is the total rate at
+	// which this box may send requests to them, NextToken when it may send the next one; zero if
+	// it may send none.
 	Limited   int
 	PerSecond float64
 	NextToken time.Time
-	// WarmingUp is how many bear few requests until they have warmed up.
+	// WarmingUp is the number of candidates that accept only a low rate until they have warmed up.
 	WarmingUp int
-	// BackingOff is how many get nothing until their Retry-After has passed, BackoffEnd when that is for
-	// the first of them.
+	// BackingOff is the number of candidates whose Retry-After has not elapsed, BackoffEnd the
+	// earliest time at which one does.
 	BackingOff int
 	BackoffEnd time.Time
 }
 
-// Availability tells what keeps requests from the candidates of a query.
+// Availability counts the candidates of a query by what prevents requests to them.
 func (b *Balancer) Availability(q Query, now time.Time) Availability {
 	if !b.signals.Any() && !q.WarmUp.Limited() {
 		return Availability{Available: len(q.Candidates)}
@@ -36,17 +37,17 @@
 	var a Availability
 	for i := range q.Candidates {
 		if c := &q.Candidates[i]; !slices.Contains(q.Exclude, c.Life()) {
-			b.count(&a, &q, c, now)
+			b.addCandidate(&a, &q, c, now)
 		}
 	}
 	return a
 }
 
-// count adds one candidate.
-func (b *Balancer) count(a *Availability, q *Query, c *routing.Server, now time.Time) {
-	s := b.known(KeyOf(c.Life()))
+// addCandidate adds one candidate to the counts.
+func (b *Balancer) addCandidate(a *Availability, q *Query, c *routing.Server, now time.Time) {
+	s := b.lookup(KeyOf(c.Life()))
 	state := b.signals.Of(s.key, now)
-	limit := b.limitOf(q, c, s, state, b.other(s.key, now), now)
+	limit := b.rateLimit(q, c, s, state, b.peerLoad(s.key, now), now)
 	switch {
 	case state.Leaving:
 	case state.Backoff != signals.Accepting:
@@ -64,7 +65,7 @@
 	}
 }
 
-// earlier is the earlier of two times, of which zero stands for none.
+// earlier returns the earlier of two times; a zero time is ignored.
 func earlier(t, other time.Time) time.Time {
 	if t.IsZero() || !other.IsZero() && other.Before(t) {
 		return other
@@ -72,8 +73,8 @@
 	return t
 }
 
-// Unconstrained are those of some servers from which no signal of theirs keeps requests; if there are
-// none, those that do not leave.
+// Unconstrained returns the servers without a constraining signal; if there are none, those that
+// are not leaving.
 func (b *Balancer) Unconstrained(servers []routing.Server, now time.Time) []routing.Server {
 	if !b.signals.Any() {
 		return servers
@@ -83,13 +84,13 @@
 	if !slices.ContainsFunc(servers, constrained) {
 		return servers
 	}
-	if rest := slices.DeleteFunc(slices.Clone(servers), constrained); len(rest) > 0 {
-		return rest
+	if remaining := slices.DeleteFunc(slices.Clone(servers), constrained); len(remaining) > 0 {
+		return remaining
 	}
 	return slices.DeleteFunc(slices.Clone(servers), leaving)
 }
 
-// SignalsOf is what a server signals in its answers.
+// SignalsOf returns the state signalled by a server's responses.
 func (b *Balancer) SignalsOf(s *routing.Server, now time.Time) signals.State {
 	return b.signals.Of(KeyOf(s.Life()), now)
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -12,167 +12,167 @@
 )
 
 const (
-	// forgetAfter is how long a server that gets no calls is remembered, sweepEvery how often such
-	// servers are looked for. To look for them with each new one made a box's first choice among
-	// 9,845 servers take 0.8 s, and four times that among twice as many (BenchmarkFirstPick).
-	forgetAfter = time.Minute
-	sweepEvery  = 10 * time.Second
+	// serverRetention is how long a server without calls stays in the map; sweepInterval is the
+	// minimum time between scans for such servers. Scanning on every insertion would make the
+	// first pick of a box quadratic in the number of servers.
+	serverRetention = time.Minute
+	sweepInterval   = 10 * time.Second
 )
 
-// Balancer keeps this box's view of the servers.
+// Balancer holds this box's view of the backend servers.
 type Balancer struct {
 	logger log.Logger
-	// onChange is told when there is something to report.
+	// onChange is called when there is something to report to other boxes.
 	onChange func()
 
 	mu      sync.Mutex
 	servers map[ServerKey]*server
-	// others is what the other boxes have servers do, heard at a time.
-	others      map[ServerKey]Load
-	othersHeard time.Time
-	// placements wait to be published.
+	// peerLoads is the load that all other boxes together put on each server, received at
+	// peerLoadsAt.
+	peerLoads   map[ServerKey]Load
+	peerLoadsAt time.Time
+	// placements holds the placements not yet reported.
 	placements []Placement
-	// lanes are those of services with engines.
-	lanes map[ServiceKey]*lanes
-	// holders are servers that may have parts of prompts cached, indexes those of long lists of
-	// candidates by service.
-	holders map[partKey][]ServerKey
-	indexes map[string]*candidateIndex
-	// swept is when servers without calls were last looked for.
-	swept time.Time
-	// limiter bounds what goes to limited servers; nil for no bound.
+	// services holds the demand statistics of services with engines.
+	services map[ServiceKey]*serviceStats
+	// holders maps a prompt part to servers that may have it cached. indexes holds, by service,
+	// the indexes of long candidate lists.
+	holders   map[partKey][]ServerKey
+	indexes   map[string]*candidateIndex
+	lastSweep time.Time
+	// limiter limits the request rate to rate-limited servers; nil for no limit.
 	limiter Limiter
-	// signals are those of servers in their answers.
+	// signals tracks what servers signal in their responses.
 	signals *signals.Tracker
 }
 
-// Limiter bounds what this box sends to servers that take few requests from all boxes together.
+// Limiter enforces this box's share of the fleet-wide rate limits of servers.
 type Limiter interface {
-	// Allows tells whether a request may go now, Take counts one that goes.
+	// Allows reports whether a request may be sent now; Take counts one that is sent.
 	Allows(server routing.Life, l fleetlimit.Limit, now time.Time) bool
 	Take(server routing.Life, l fleetlimit.Limit, now time.Time)
-	// Outlook is how many requests a second may go, and when the next one may.
+	// Outlook returns this box's share of the rate and the time at which the next request may be
+	// sent.
 	Outlook(server routing.Life, l fleetlimit.Limit, now time.Time) (perSecond float64, next time.Time)
 }
 
-// SetLimiter sets what bounds requests to limited servers. It is set before the first call.
+// SetLimiter sets the limiter for rate-limited servers. It must be called before the first Pick.
 func (b *Balancer) SetLimiter(l Limiter) { b.limiter = l }
 
-// server is what is known of one server.
+// server is this box's state for one backend server.
 type server struct {
 	key     ServerKey
 	running int
-	// memory is how many tokens they may take.
-	memory int
-	// backlog is the length of the prompts whose first event is awaited, reported is
-	// what was last reported to the other boxes.
+	// memoryTokens is the maximum number of tokens that the running requests may occupy.
+	memoryTokens int
+	// backlog is the number of prompt tokens sent but not yet prefilled. reported is the load last
+	// reported to other boxes.
 	backlog  int
 	reported Load
 	cached   cachedParts
 	health   health
-	touched  time.Time
-	// probing says that a request probes the server, which is half-open.
-	probing bool
-	// down is when the server was last known to be down, as far as a choice looked at it.
-	down time.Time
+	lastUsed time.Time
+	// probeInFlight is set while a request probes the half-open server.
+	probeInFlight bool
+	// lastSeenDown is updated only when a pick considers the server.
+	lastSeenDown time.Time
 }
 
-// load is what this box has the server do.
+// load returns the load from this box alone.
 func (s *server) load() Load {
-	return Load{Backlog: s.backlog, Running: s.running, MemoryTokens: s.memory}
+	return Load{Backlog: s.backlog, Running: s.running, MemoryTokens: s.memoryTokens}
 }
 
-// New returns a balancer that knows nothing yet.
+// New returns a balancer without any server state.
 func New(logger log.Logger) *Balancer {
 	b := &Balancer{
-		logger: logger, servers: make(map[ServerKey]*server), lanes: make(map[ServiceKey]*lanes),
+		logger: logger, servers: make(map[ServerKey]*server), services: make(map[ServiceKey]*serviceStats),
 		holders: make(map[partKey][]ServerKey), indexes: make(map[string]*candidateIndex),
 	}
-	b.signals = signals.NewTracker(logger, b.changed)
+	b.signals = signals.NewTracker(logger, b.notifyChange)
 	return b
 }
 
-// Signals tracks what servers signal in their answers.
+// Signals returns the tracker of the signals in servers' responses.
 func (b *Balancer) Signals() *signals.Tracker { return b.signals }
 
-// Pick chooses a server and counts the call there. It returns false if no
-// candidate is left.
+// Pick chooses a server and counts the call there. It returns false if no candidate is eligible.
 func (b *Balancer) Pick(q Query, now time.Time) (*Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	chosen, p, ok := b.choose(q, now)
+	chosen, costs, ok := b.choose(q, now)
 	if !ok {
 		return nil, false
 	}
 	l := &Lease{
-		Server: *chosen.Server, Source: chosen.source, Inputs: b.inputs(q, &chosen, &p, now),
-		balancer: b, state: chosen.state, prefix: p.prefix, probe: chosen.probe,
+		Server: *chosen.Server, Source: chosen.source, Inputs: b.inputs(q, &chosen, &costs, now),
+		balancer: b, state: chosen.state, prefix: costs.prefix, probe: chosen.probe,
 	}
 	l.state.running++
-	l.state.probing = l.state.probing || l.probe
+	l.state.probeInFlight = l.state.probeInFlight || l.probe
 	if chosen.limited {
-		b.limiter.Take(chosen.Life(), b.limitNow(&q, chosen.Server, now), now)
+		b.limiter.Take(chosen.Life(), b.currentRateLimit(&q, chosen.Server, now), now)
 	}
 	if q.Engine {
-		l.occupy(q, &chosen, &p, now)
+		l.reserve(q, &chosen, &costs, now)
 	}
 	return l, true
 }
 
-// inputs are what a choice rested on.
-func (b *Balancer) inputs(q Query, c *choice, p *placing, now time.Time) Inputs {
+// inputs records, for the logs, what a choice was based on.
+func (b *Balancer) inputs(q Query, c *choice, costs *costContext, now time.Time) Inputs {
 	s := c.state
 	return Inputs{
 		Candidates: len(q.Candidates), Running: s.running, Backlog: s.backlog,
-		PeerRunning: c.load.Running - s.running, PeerBacklog: c.load.Backlog - s.backlog, LoadAge: b.loadAge(now),
-		Prefix: q.prefix(), Home: c.home, CachedTokens: c.cached, TransferredTokens: c.transferred, PrefillTokens: c.toPrefill(q),
-		Interactive: p.lane.interactive, LaneSize: p.lane.size, FailureRatio: c.failures,
+		PeerRunning: c.load.Running - s.running, PeerBacklog: c.load.Backlog - s.backlog, LoadAge: b.peerLoadAge(now),
+		Prefix: q.prefixID(), Home: c.isHome, CachedTokens: c.cachedTokens, TransferredTokens: c.transferredTokens, PrefillTokens: c.prefillTokens(q),
+		Interactive: costs.lane.interactive, LaneSize: costs.lane.size, FailureRatio: c.failureRatio,
 	}
 }
 
-// loadAge is how old the other boxes' loads are, negative if none were heard.
-func (b *Balancer) loadAge(now time.Time) time.Duration {
-	if b.othersHeard.IsZero() {
+// peerLoadAge returns the age of the peer loads, negative if none were received.
+func (b *Balancer) peerLoadAge(now time.Time) time.Duration {
+	if b.peerLoadsAt.IsZero() {
 		return -time.Millisecond
 	}
-	return now.Sub(b.othersHeard)
+	return now.Sub(b.peerLoadsAt)
 }
 
-// lanesOf returns what is known of the prompts of a service.
-func (b *Balancer) lanesOf(service string) *lanes {
-	return b.lanesBy(ServiceKeyOf(service))
+// statsOf returns the demand statistics of a service, creating them if needed.
+func (b *Balancer) statsOf(service string) *serviceStats {
+	return b.statsByKey(ServiceKeyOf(service))
 }
 
-// lanesBy returns what is known of the prompts of a service by its key.
-func (b *Balancer) lanesBy(key ServiceKey) *lanes {
-	l, ok := b.lanes[key]
+// statsByKey is like statsOf, for a service key.
+func (b *Balancer) statsByKey(key ServiceKey) *serviceStats {
+	stats, ok := b.services[key]
 	if !ok {
-		l = &lanes{classes: make(profiles)}
-		b.lanes[key] = l
+		stats = &serviceStats{classes: make(profiles)}
+		b.services[key] = stats
 	}
-	return l
+	return stats
 }
 
-// server returns what is known of a server.
+// server returns the state of a server, creating it if needed.
 func (b *Balancer) server(key ServerKey, now time.Time) *server {
 	s, ok := b.servers[key]
 	if !ok {
-		b.forget(now)
+		b.evictUnused(now)
 		s = &server{key: key}
 		b.servers[key] = s
 	}
-	s.touched = now
+	s.lastUsed = now
 	return s
 }
 
-// forget drops servers that have had no calls for long.
-func (b *Balancer) forget(now time.Time) {
-	if now.Sub(b.swept) < sweepEvery {
+// evictUnused removes servers without running requests that were not used within serverRetention.
+func (b *Balancer) evictUnused(now time.Time) {
+	if now.Sub(b.lastSweep) < sweepInterval {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for key, s := range b.servers {
-		if s.running == 0 && now.Sub(s.touched) > forgetAfter {
+		if s.running == 0 && now.Sub(s.lastUsed) > serverRetention {
 			delete(b.servers, key)
 		}
 	}
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestPromptsGoWhereTheirPartsAre(t *testing.T) {
+func TestBoxesAgreeOnHomes(t *testing.T) {
 	now := time.Now()
 	first, second := New(log.NewNopLogger()), New(log.NewNopLogger())
 	for i := range 50 {
@@ -36,7 +36,7 @@
 		a, ok := first.Pick(q, now)
 		require.True(t, ok)
 		b, _ := second.Pick(q, now)
-		assert.Equal(t, a.Server.ID, b.Server.ID, "boxes agree without talking")
+		assert.Equal(t, a.Server.ID, b.Server.ID, "boxes agree without exchanging reports")
 		a.PrefillDone(now)
 		b.PrefillDone(now)
 		a.Done(ResultDone, now)
@@ -44,9 +44,9 @@
 	}
 }
 
-// A long prompt that is being read delays what comes behind it: a short one goes
-// elsewhere, another with the same long prompt waits for it.
-func TestShortPromptAvoidsALongOne(t *testing.T) {
+// A prefill in progress delays later requests: short prompts avoid the server, while prompts with
+// the same prefix wait for it.
+func TestShortPromptAvoidsBusyServer(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	long, _ := b.Pick(query(9, "long"), now)
@@ -66,7 +66,7 @@
 		result Result
 		times  int
 	}{
-		"unreached": {ResultUnreached, 1}, "refused": {ResultRefused, 1}, "replaced": {ResultReplaced, 1}, "failed": {ResultFailed, brokenInARow},
+		"unreached": {ResultUnreached, 1}, "refused": {ResultRefused, 1}, "replaced": {ResultReplaced, 1}, "failed": {ResultFailed, failuresToEject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := New(log.NewNopLogger())
@@ -81,12 +81,12 @@
 				l.Done(ResultDone, now)
 			}
 			_, ok := b.Pick(Query{Candidates: servers(1)}, now)
-			assert.True(t, ok, "better than none")
+			assert.True(t, ok, "an ejected server is better than none")
 		})
 	}
 }
 
-func TestFailingServerGetsLess(t *testing.T) {
+func TestFailingServerGetsFewerRequests(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	chosen := 0
@@ -103,51 +103,51 @@
 		l.Done(result, now)
 	}
 	assert.Less(t, chosen, 60, "an equal share would be 100")
-	assert.Positive(t, chosen, "it is tried again")
+	assert.Positive(t, chosen, "the failing server is retried")
 }
 
-func TestTriedServersAreLeftOut(t *testing.T) {
+func TestExcludedServersAreNotPicked(t *testing.T) {
 	b := New(log.NewNopLogger())
 	_, ok := b.Pick(Query{Candidates: servers(2), Exclude: []routing.Life{{ID: "i-0"}, {ID: "i-1"}}}, time.Now())
 	assert.False(t, ok)
 }
 
-func TestCachedPartsCountFromTheFirst(t *testing.T) {
-	var k cachedParts
+func TestLongestPrefixStartsAtFirstPart(t *testing.T) {
+	var c cachedParts
 	now := time.Now()
 	longest := func(parts []Part, at time.Time) int {
-		cached, _ := k.longest(prefixOf(parts), at)
+		cached, _ := c.longestPrefix(prefixOf(parts), at)
 		return cached
 	}
-	k.note(prefixOf([]Part{{ID: "a"}, {ID: "c"}}).keys, true, now)
+	c.record(prefixOf([]Part{{ID: "a"}, {ID: "c"}}).keys, true, now)
 	assert.Equal(t, 10, longest([]Part{{"a", 10}, {"b", 20}, {"c", 30}}, now))
-	assert.Zero(t, longest([]Part{{"a", 10}}, now.Add(cachedFor+time.Second)))
-	for i := range 3 * cachedMost {
-		k.note([]partKey{uint64(i)}, true, now)
+	assert.Zero(t, longest([]Part{{"a", 10}}, now.Add(cachedTTL+time.Second)))
+	for i := range 3 * maxCachedParts {
+		c.record([]partKey{uint64(i)}, true, now)
 	}
-	assert.LessOrEqual(t, len(k), cachedMost+1)
+	assert.LessOrEqual(t, len(c), maxCachedParts+1)
 }
 
-// What was sent to a server counts as cached there, but not as read: it may still fail.
-func TestSentPartsAreNotReadYet(t *testing.T) {
-	var k cachedParts
+// Parts sent to a server count as cached but not as prefilled, because the call may still fail.
+func TestSentPartsAreNotPrefilled(t *testing.T) {
+	var c cachedParts
 	now := time.Now()
 	parts := []Part{{"a", 10}}
-	ids := prefixOf(parts).keys
-	assert.True(t, k.note(ids, false, now))
-	cached, prefilled := k.longest(prefixOf(parts), now)
+	keys := prefixOf(parts).keys
+	assert.True(t, c.record(keys, false, now))
+	cached, prefilled := c.longestPrefix(prefixOf(parts), now)
 	assert.Equal(t, []int{10, 0}, []int{cached, prefilled})
-	cached, _ = k.longest(prefixOf(parts), now.Add(assignedFor+time.Millisecond))
+	cached, _ = c.longestPrefix(prefixOf(parts), now.Add(assignedTTL+time.Millisecond))
 	assert.Zero(t, cached)
-	assert.True(t, k.note(ids, true, now), "that it was read is news")
-	k.markPublished(ids, now)
-	assert.False(t, k.note(ids, false, now.Add(time.Second)), "sent again, it still keeps it")
-	cached, prefilled = k.longest(prefixOf(parts), now.Add(cachedFor))
+	assert.True(t, c.record(keys, true, now), "a newly prefilled part is published")
+	c.markPublished(keys, now)
+	assert.False(t, c.record(keys, false, now.Add(time.Second)), "an unchanged part is not published again")
+	cached, prefilled = c.longestPrefix(prefixOf(parts), now.Add(cachedTTL))
 	assert.Equal(t, []int{10, 10}, []int{cached, prefilled})
 }
 
-// Whatever happens, what was counted in is counted out.
-func TestCountsEndAtZero(t *testing.T) {
+// Running calls and backlog return to zero after any sequence of calls.
+func TestCountsReturnToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(log.NewNopLogger())
 		now := time.Now()
@@ -161,7 +161,7 @@
 				continue
 			}
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-			if rapid.Bool().Draw(t, "begun") {
+			if rapid.Bool().Draw(t, "prefilled") {
 				open[i].PrefillDone(now)
 			}
 			open[i].Done(Result(rapid.IntRange(0, int(ResultAbandoned)).Draw(t, "result")), now)
@@ -171,16 +171,16 @@
 		for _, l := range open {
 			l.Done(ResultDone, now)
 		}
-		for id, s := range b.servers {
+		for key, s := range b.servers {
 			if s.running != 0 || s.backlog != 0 {
-				t.Fatalf("%d: %d running, %d backlog", id, s.running, s.backlog)
+				t.Fatalf("%d: %d running, %d backlog", key, s.running, s.backlog)
 			}
 		}
 	})
 }
 
-// A server that fails at once looks idle. Requests that can't be repeated leave it
-// even if it keeps their prompt.
+// A server that fails fast looks idle. Requests that can't be repeated avoid it even if it has
+// their prefix cached.
 func TestOnceOnlyRequestsLeaveAFailingServer(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
@@ -195,15 +195,15 @@
 	}
 	q.Repeatable = true
 	l, _ := b.Pick(q, now)
-	assert.Equal(t, home.Server.ID, l.Server.ID, "reading the prompt anew costs more than a repeat")
+	assert.Equal(t, home.Server.ID, l.Server.ID, "prefilling the prompt again costs more than a retry")
 	l.Done(ResultDone, now)
 	q.Repeatable = false
 	l, _ = b.Pick(q, now)
 	assert.NotEqual(t, home.Server.ID, l.Server.ID)
 }
 
-// tellEachOther passes reports between two boxes.
-func tellEachOther(one, two *Balancer, now time.Time) {
+// exchangeReports passes reports between two boxes.
+func exchangeReports(one, two *Balancer, now time.Time) {
 	for _, b := range [][2]*Balancer{{one, two}, {two, one}} {
 		r := b[0].Report(now)
 		b[1].SetPeerLoads(r.Loads, r.Demands, now)
@@ -211,15 +211,14 @@
 	}
 }
 
-// Two boxes that tell each other what they have servers read spread new prompts as
-// one box would.
-func TestOtherBoxesLoadsCount(t *testing.T) {
+// Boxes that exchange reports avoid a server that is busy with the other box's prompts.
+func TestPeerLoadsAffectChoice(t *testing.T) {
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	prompt := query(2, "long")
 	prompt.Parts[1].Tokens, prompt.PromptTokens = 20000, 28000
 	long, _ := one.Pick(prompt, now)
-	tellEachOther(one, two, now)
+	exchangeReports(one, two, now)
 	short := Query{Candidates: servers(2), Hall: long.Server.Hall, Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
 	for range 10 {
 		l, _ := two.Pick(short, now)
@@ -227,19 +226,19 @@
 		l.Done(ResultDone, now)
 	}
 	long.PrefillDone(now)
-	tellEachOther(one, two, now)
-	assert.Equal(t, Load{Running: 1, MemoryTokens: 28000}, two.other(KeyOf(long.Server.Life()), now), "that it has begun is told as well")
+	exchangeReports(one, two, now)
+	assert.Equal(t, Load{Running: 1, MemoryTokens: 28000}, two.peerLoad(KeyOf(long.Server.Life()), now), "the end of the prefill is reported")
 	long.Done(ResultDone, now)
-	tellEachOther(one, two, now)
-	assert.Zero(t, two.other(KeyOf(long.Server.Life()), now), "and its end")
+	exchangeReports(one, two, now)
+	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Life()), now), "the end of the call is reported")
 	two.SetPeerLoads(map[ServerKey]Load{KeyOf(long.Server.Life()): {Backlog: 9000}}, nil, now)
-	assert.Equal(t, 9000, two.other(KeyOf(long.Server.Life()), now).Backlog)
-	assert.Zero(t, two.other(KeyOf(long.Server.Life()), now.Add(othersFor+time.Millisecond)), "others that fall silent are forgotten")
+	assert.Equal(t, 9000, two.peerLoad(KeyOf(long.Server.Life()), now).Backlog)
+	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Life()), now.Add(peerLoadTTL+time.Millisecond)), "peer loads expire")
 }
 
-// A box goes where another one has sent a prefix, and takes it from there when that
-// server is busy.
-func TestOtherBoxesPlacementsCount(t *testing.T) {
+// A box uses the server to which another box has sent a prefix, and transfers the prefix from it
+// if that server is busy.
+func TestPeerPlacementsAffectChoice(t *testing.T) {
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	q := query(9, "part")
@@ -247,14 +246,14 @@
 	one.SetPeerLoads(map[ServerKey]Load{KeyOf(home.Server.Life()): {Backlog: 500000}}, nil, now)
 	away, _ := one.Pick(q, now)
 	require.NotEqual(t, home.Server.ID, away.Server.ID)
-	assert.Empty(t, away.Source, "the home has not read it yet")
+	assert.Empty(t, away.Source, "the home has not prefilled it yet")
 	home.Done(ResultFailed, now)
 	away.PrefillDone(now)
-	tellEachOther(one, two, now)
+	exchangeReports(one, two, now)
 
 	l, _ := two.Pick(q, now)
-	assert.Equal(t, away.Server.ID, l.Server.ID, "not the home, which does not keep it")
-	now = now.Add(assignedFor + time.Millisecond)
+	assert.Equal(t, away.Server.ID, l.Server.ID, "not the home, where the prefix is not cached")
+	now = now.Add(assignedTTL + time.Millisecond)
 	two.SetPeerLoads(map[ServerKey]Load{KeyOf(away.Server.Life()): {Backlog: 500000}}, nil, now)
 	l, _ = two.Pick(q, now)
 	assert.NotEqual(t, away.Server.ID, l.Server.ID)
@@ -262,8 +261,8 @@
 	assert.Equal(t, 8000, l.Inputs.TransferredTokens)
 }
 
-// When a home can't be reached, all boxes go to the same next one.
-func TestNextHomeIsTheSameForAll(t *testing.T) {
+// All boxes choose the same next home if the first one is unreachable.
+func TestBoxesAgreeOnNextHome(t *testing.T) {
 	now := time.Now()
 	for i := range 50 {
 		q := query(9, fmt.Sprintf("part-%d", i))
@@ -273,9 +272,9 @@
 			home, _ := b.Pick(q, now)
 			home.Done(ResultUnreached, now)
 			first = append(first, home.Server.ID)
-			// What was sent there does not count as cached any more.
-			later := now.Add(assignedFor + time.Millisecond)
-			b.server(KeyOf(home.Server.Life()), later).health.ejected = later.Add(time.Second)
+			// By then the assignment to the first home has expired.
+			later := now.Add(assignedTTL + time.Millisecond)
+			b.server(KeyOf(home.Server.Life()), later).health.ejectedUntil = later.Add(time.Second)
 			l, _ := b.Pick(q, later)
 			next = append(next, l.Server.ID)
 		}
@@ -285,9 +284,8 @@
 	}
 }
 
-// A server that several boxes can't reach is left out, unless this box has just
-// reached it itself.
-func TestServerThatOthersCallDown(t *testing.T) {
+// A server that several boxes report down is ejected, unless this box has reached it recently.
+func TestServerReportedDownByPeersIsEjected(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{Candidates: servers(2)}
@@ -296,19 +294,19 @@
 		l.Done(ResultAbandoned, now)
 		return l.Server.ID
 	}
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: downLeast - 1}}, nil, now)
-	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "one box may be cut off itself")
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: downLeast}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: minDownReports - 1}}, nil, now)
+	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "a single box may itself be cut off")
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: minDownReports}}, nil, now)
 	for range 20 {
 		assert.Equal(t, "i-1", pick())
 	}
 	own, _ := b.Pick(Query{Candidates: servers(1)}, now)
 	own.Done(ResultDone, now)
-	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "its own word counts for more")
+	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "a recent success overrides peer reports")
 }
 
-// Reading a prompt again costs everybody the more, the busier all are.
-func TestBusyServersAreNotMadeToReadAgain(t *testing.T) {
+// The cost of a repeated prefill grows with the load of all servers.
+func TestRepeatedPrefillCostsMoreUnderLoad(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := query(3, "part")
@@ -323,52 +321,51 @@
 	assert.Equal(t, home.Server.ID, l.Server.ID)
 }
 
-// serversWithPlaces returns servers with some places each.
-func serversWithPlaces(n, places int) []routing.Server {
+// serversWithSlots returns n servers with the given number of slots.
+func serversWithSlots(n, slots int) []routing.Server {
 	list := servers(n)
 	for i := range list {
-		list[i].Slots = places
+		list[i].Slots = slots
 	}
 	return list
 }
 
-// Requests that other boxes run take places as this box's own do: each finds a place as
-// long as there is one.
+// Requests of other boxes occupy slots too: each request finds a free slot while there is one.
 func TestRequestsFindFreePlaces(t *testing.T) {
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	running := make(map[string]int)
 	for i := range 4 * 12 {
 		b := []*Balancer{one, two}[i%2]
-		q := Query{Candidates: serversWithPlaces(4, 12), Hall: "hall-0", Engine: true, Service: "models", Class: "questions", PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
+		q := Query{Candidates: serversWithSlots(4, 12), Hall: "hall-0", Engine: true, Service: "models", Class: "questions", PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
 		l, _ := b.Pick(q, now)
 		l.PrefillDone(now)
 		running[l.Server.ID]++
-		tellEachOther(one, two, now)
+		exchangeReports(one, two, now)
 	}
 	for id, n := range running {
 		assert.Equal(t, 12, n, "server %s", id)
 	}
 }
 
-// A server whose places are all taken is left for one with a free place in another hall.
-func TestFullServerIsLeft(t *testing.T) {
+// A free slot in another hall is preferred to a full server in the same hall.
+func TestFullServerIsAvoided(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
+	q := Query{Candidates: serversWithSlots(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
 	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Running: 12}}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
 }
 
-func TestLoadsAddUp(t *testing.T) {
+func TestLoadPlusMinus(t *testing.T) {
 	a, b := Load{Backlog: 5, Running: 4, MemoryTokens: 7, DownReports: 2}, Load{Backlog: 1, Running: 2, MemoryTokens: 2, DownReports: 1}
 	assert.Equal(t, a, a.Plus(b).Minus(b))
-	assert.Zero(t, b.Minus(a), "a part that is newer than the whole")
+	assert.Zero(t, b.Minus(a), "counts do not go below zero")
 }
 
-// Prompts that share only their first part are spread by their whole prefix, also while
-// that part is cached on one server only and boxes have not heard from each other.
+// Prompts that share only their first part are spread by their whole prefix, even if that part is
+// cached on a single server and boxes have not exchanged reports.
 func TestColdPrefixesSpreadThoughAPartIsCached(t *testing.T) {
 	now := time.Now()
 	chosen := make(map[string]int)
@@ -383,28 +380,27 @@
 		chosen[l.Server.ID]++
 	}
 	for id, n := range chosen {
-		assert.LessOrEqual(t, n, 9, "server %s; 3 would be its share", id)
+		assert.LessOrEqual(t, n, 9, "server %s; an even share would be 3", id)
 	}
 }
 
-// A long prompt does not go where it and what runs there may take more memory than there
-// is, as less urgent requests would be preempted.
+// A long prompt avoids an engine whose memory it would exceed, as less urgent requests would be
+// preempted.
 func TestEnginesMemoryCounts(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := Query{Candidates: serversWithPlaces(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 20000, MaxOutputTokens: 500, EngineMemoryTokens: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
+	q := Query{Candidates: serversWithSlots(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 20000, MaxOutputTokens: 500, EngineMemoryTokens: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
 	b.SetPeerLoads(map[ServerKey]Load{
 		KeyOf(routing.Life{ID: "i-0"}): {Running: 4, MemoryTokens: 75000}, KeyOf(routing.Life{ID: "i-1"}): {Running: 6, MemoryTokens: 40000},
 	}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
 	waiting := choice{Server: &routing.Server{Slots: 10}, load: Load{Running: 20, MemoryTokens: 100000}}
-	p := placing{query: q}
-	assert.Equal(t, 0, p.memoryOver(&waiting), "what waits takes no memory")
+	costs := costContext{query: q}
+	assert.Equal(t, 0, costs.excessMemoryTokens(&waiting), "waiting requests occupy no memory")
 }
 
-// Boxes that have heard the same of the servers a while ago do not all choose the one that
-// looked best then.
+// Boxes with the same stale loads do not all choose the server that had the lowest load.
 func TestBoxesWithTheSameOldLoadsSpread(t *testing.T) {
 	now := time.Now()
 	loads := make(map[ServerKey]Load)
@@ -423,12 +419,12 @@
 		chosen[l.Server.ID]++
 	}
 	for id, n := range chosen {
-		assert.Less(t, n, 40, "server %s; 10 would be its share", id)
+		assert.Less(t, n, 40, "server %s; an even share would be 10", id)
 	}
 }
 
-// A server that is back under its ID holds nothing of before: no prefixes, no load, no failures,
-// and what other boxes still tell of its life before is not its own.
+// A server restarted under the same ID inherits no prefixes, load or failures, nor what other
+// boxes still report about its previous life.
 func TestNewLifeOfAServerInheritsNothing(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
@@ -439,17 +435,17 @@
 	served, _ := b.Pick(q, now)
 	served.PrefillDone(now)
 	served.Done(ResultDone, now)
-	hanging, _ := b.Pick(q, now)
-	for range brokenInARow {
+	pending, _ := b.Pick(q, now)
+	for range failuresToEject {
 		l, _ := b.Pick(q, now)
 		l.Done(ResultFailed, now)
 	}
 	old := b.server(KeyOf(before[0].Life()), now)
-	require.True(t, now.Before(old.health.ejected))
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(before[0].Life()): {Running: 9, Backlog: 50_000, DownReports: downLeast}}, nil, now)
+	require.True(t, now.Before(old.health.ejectedUntil))
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(before[0].Life()): {Running: 9, Backlog: 50_000, DownReports: minDownReports}}, nil, now)
 
 	after := servers(1)
-	after[0].Started = 900 // Its clock went back.
+	after[0].Started = 900 // The server's clock was set back.
 	q.Candidates = after
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
@@ -459,12 +455,12 @@
 	assert.Zero(t, l.Inputs.FailureRatio)
 	assert.Equal(t, q.PromptTokens, l.Inputs.PrefillTokens)
 
-	hanging.Done(ResultFailed, now)
-	assert.Equal(t, 1, b.server(KeyOf(after[0].Life()), now).running, "the end of a request to the life before is not its own")
+	pending.Done(ResultFailed, now)
+	assert.Equal(t, 1, b.server(KeyOf(after[0].Life()), now).running, "requests of the previous life are not counted")
 	assert.Zero(t, b.server(KeyOf(after[0].Life()), now).health.failures)
 }
 
-// What a server had cached before its end can't be taken from its next life.
+// Prefixes cached by a server before its restart can't be transferred from it afterwards.
 func TestNoTransferFromALifeThatIsGone(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
--- a/pkg/balancer/bench_test.go
+++ b/pkg/balancer/bench_test.go
@@ -8,8 +8,7 @@
 	"github.com/go-kit/log"
 )
 
-// BenchmarkPick is the choice of one server among those of a service: 2.3 ms for 9,845 where each was
-// looked at, 0.03 ms where a few are.
+// BenchmarkPick measures a choice among the servers of a service.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{9, 90, 512, 2400, 9845, 19690} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -28,9 +27,7 @@
 	}
 }
 
-// BenchmarkFirstPick is the first choice of a box, which knows nothing of any server: 0.8 s for 9,845
-// and 3.6 s for 19,690 where servers to forget were looked for with each new one, 1.2 and 2.6 ms
-// where they are now and then.
+// BenchmarkFirstPick measures the first choice of a box, when all servers are new to it.
 func BenchmarkFirstPick(b *testing.B) {
 	for _, n := range []int{9845, 19690} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/pkg/balancer/cache.go
+++ b/pkg/balancer/cache.go
@@ -3,82 +3,82 @@
 import "time"
 
 const (
-	// cachedFor is how long a server is believed to cache a part after its last use,
-	// assignedFor how long it is believed to prefill one that was sent to it.
-	cachedFor   = 30 * time.Second
-	assignedFor = 4 * time.Second
-	// cachedMost bounds the parts that are remembered of one server.
-	cachedMost = 2048
+	// cachedTTL is how long a prefilled part is assumed to stay cached after its last use,
+	// assignedTTL how long a part counts as cached that was sent but may not be prefilled yet.
+	cachedTTL   = 30 * time.Second
+	assignedTTL = 4 * time.Second
+	// maxCachedParts bounds the parts recorded for one server.
+	maxCachedParts = 2048
 )
 
-// cachedPart is what is believed of one part of a prompt at one server.
+// cachedPart is the assumed cache state of one prompt part at one server.
 type cachedPart struct {
-	used time.Time
-	// prefilled is set once the server has prefilled the part; before, it is about to.
+	lastUsed time.Time
+	// prefilled is set once the server has prefilled the part.
 	prefilled bool
-	// published is when it was last published to other boxes.
-	published time.Time
+	// publishedAt is when the part was last published to or by other boxes.
+	publishedAt time.Time
 }
 
 func (p cachedPart) valid(now time.Time) bool {
-	age := now.Sub(p.used)
-	return age <= assignedFor || p.prefilled && age <= cachedFor
+	age := now.Sub(p.lastUsed)
+	return age <= assignedTTL || p.prefilled && age <= cachedTTL
 }
 
-// cachedParts are the parts of prompts that were sent to a server.
+// cachedParts holds the prompt parts sent to a server.
 type cachedParts map[partKey]cachedPart
 
-// note remembers that the parts were sent, or that they were prefilled. It returns whether
-// the last one is news for other boxes.
-func (k *cachedParts) note(keys []partKey, prefilled bool, now time.Time) bool {
-	if *k == nil {
-		*k = make(cachedParts)
+// record records that parts were sent, or that they were prefilled. It reports whether the last
+// part's state should be published to other boxes.
+func (c *cachedParts) record(keys []partKey, prefilled bool, now time.Time) bool {
+	if *c == nil {
+		*c = make(cachedParts)
 	}
-	if len(*k) > cachedMost {
-		k.forget(now)
+	if len(*c) > maxCachedParts {
+		c.evict(now)
 	}
-	news := false
-	for _, id := range keys {
-		old := (*k)[id]
+	publish := false
+	for _, key := range keys {
+		old := (*c)[key]
 		wasPrefilled := old.prefilled && old.valid(now)
-		news = !old.valid(now) || prefilled && !wasPrefilled || now.Sub(old.published) > cachedFor/3
-		(*k)[id] = cachedPart{used: now, prefilled: prefilled || wasPrefilled, published: old.published}
+		publish = !old.valid(now) || prefilled && !wasPrefilled || now.Sub(old.publishedAt) > cachedTTL/3
+		(*c)[key] = cachedPart{lastUsed: now, prefilled: prefilled || wasPrefilled, publishedAt: old.publishedAt}
 	}
-	return news
+	return publish
 }
 
-// markPublished notes that the parts were published to the other boxes.
-func (k cachedParts) markPublished(keys []partKey, now time.Time) {
-	for _, id := range keys {
-		known := k[id]
-		known.published = now
-		k[id] = known
+// markPublished records that the parts were published to or by other boxes.
+func (c cachedParts) markPublished(keys []partKey, now time.Time) {
+	for _, key := range keys {
+		part := c[key]
+		part.publishedAt = now
+		c[key] = part
 	}
 }
 
-// forget drops what is too old, or everything if that is not enough.
-func (k *cachedParts) forget(now time.Time) {
-	for id, p := range *k {
+// evict removes expired parts, or all parts if that does not free enough.
+func (c *cachedParts) evict(now time.Time) {
+	for key, p := range *c {
 		if !p.valid(now) {
-			delete(*k, id)
+			delete(*c, key)
 		}
 	}
-	if len(*k) > cachedMost {
-		clear(*k)
+	if len(*c) > maxCachedParts {
+		clear(*c)
 	}
 }
 
-// longest returns the tokens of the longest run of parts, from the first, that the
-// server is believed to have cached, and how many of them it has prefilled for certain.
-func (k cachedParts) longest(shared prefix, now time.Time) (cached, prefilled int) {
+// longestPrefix returns the tokens of the longest leading run of parts that the server is assumed
+// to have cached, and how many of them it is known to have prefilled.
+func (c cachedParts) longestPrefix(shared prefix, now time.Time) (cached, prefilled int) {
 	allPrefilled := true
 	for i, p := range shared.parts {
-		known, ok := k[shared.keys[i]]
-		if !ok || !known.valid(now) {
+		state, ok := c[shared.keys[i]]
+		if !ok || !state.valid(now) {
 			return cached, prefilled
 		}
 		cached += p.Tokens
-		allPrefilled = allPrefilled && known.prefilled
+		allPrefilled = allPrefilled && state.prefilled
 		if allPrefilled {
 			prefilled = cached
 		}
--- a/pkg/balancer/choose.go
+++ b/pkg/balancer/choose.go
@@ -12,102 +12,104 @@
 	"headhill.example/headhill/pkg/signals"
 )
 
-// choice is a candidate, what it is believed to have cached of the prompt, and what it
-// costs to choose it.
+// choice is a candidate with its cached part of the prompt and its cost.
 type choice struct {
 	*routing.Server
-	state *server
-	home  bool
-	// cached is what the server has cached or is about to prefill, prefilled what it has for
-	// certain.
-	cached    int
-	prefilled int
-	// load is what all boxes have the server do.
+	state  *server
+	isHome bool
+	// cachedTokens counts what the server has cached or is about to prefill, prefilledTokens what
+	// it is known to have prefilled.
+	cachedTokens    int
+	prefilledTokens int
+	// load is the server's load from all boxes.
 	load Load
 	cost float64
-	// failures is the share of recent calls that failed.
-	failures float64
-	// source is the address of a server that has prefilled more of the prompt, transferred how
-	// much more that is.
-	source      string
-	transferred int
-	// candidateHome tells that the server may be the home of the prompt's prefix.
-	candidateHome bool
-	// limited tells that the server takes few requests from all boxes, of which this one would be counted.
+	// failureRatio is the ratio of recent calls that failed.
+	failureRatio float64
+	// source is the address of a server that has prefilled more of the prompt, transferredTokens
+	// how much more.
+	source            string
+	transferredTokens int
+	// mayBeHome is set if the server is eligible as the home of the prompt's prefix.
+	mayBeHome bool
+	// limited is set if the request counts against a fleet-wide rate limit.
 	limited bool
-	// probe tells that the server is half-open, and that this request would probe it.
+	// probe is set if the server is half-open and the request would probe it.
 	probe bool
 }
 
-// toPrefill is how much of the prompt the server has to prefill.
-func (c *choice) toPrefill(q Query) int { return max(0, q.PromptTokens-c.cached-c.transferred) }
+// prefillTokens returns how much of the prompt the server has to prefill.
+func (c *choice) prefillTokens(q Query) int {
+	return max(0, q.PromptTokens-c.cachedTokens-c.transferredTokens)
+}
 
-// choose picks the candidate with the least cost, by chance among equals. It returns
-// false if none is left.
-func (b *Balancer) choose(q Query, now time.Time) (choice, placing, bool) {
-	shared := prefixOf(q.shared())
-	x := b.indexOf(q)
-	choices := withPlaces(q, b.usable(&q, b.look(q, x, shared, now), shared, now))
+// choose returns the eligible candidate with the lowest cost, with ties broken at random. It
+// returns false if there is none.
+func (b *Balancer) choose(q Query, now time.Time) (choice, costContext, bool) {
+	shared := prefixOf(q.sharedParts())
+	index := b.indexOf(q)
+	choices := withFreeSlots(q, b.eligible(&q, b.selectCandidates(q, index, shared, now), shared, now))
 	if len(choices) == 0 {
-		return choice{}, placing{}, false
+		return choice{}, costContext{}, false
 	}
-	p := b.placing(q, shared, x, choices, now)
-	mostFailures := leastFailures(choices) + failureMost
+	costs := b.newCostContext(q, shared, index, choices, now)
+	maxFailureRatio := minFailureRatio(choices) + maxExcessFailureRatio
 	var best *choice
-	equals := 0
+	ties := 0
 	for i := range choices {
 		c := &choices[i]
-		// A server that fails at once looks idle, so that its cost alone would draw
-		// requests, also those that can't be repeated.
-		if !q.Repeatable && c.failures > mostFailures {
+		// A server that fails fast looks idle, so its cost alone would attract requests, including
+		// those that can't be repeated.
+		if !q.Repeatable && c.failureRatio > maxFailureRatio {
 			continue
 		}
-		p.price(c)
+		costs.computeCost(c)
 		switch {
 		case best == nil || c.cost < best.cost:
-			best, equals = c, 1
+			best, ties = c, 1
 		case c.cost == best.cost:
-			if equals++; rand.IntN(equals) == 0 {
+			if ties++; rand.IntN(ties) == 0 {
 				best = c
 			}
 		}
 	}
-	return *best, p, true
+	return *best, costs, true
 }
 
-// look chooses at which candidates a choice looks. The index is nil where it looks at all.
-func (b *Balancer) look(q Query, x *candidateIndex, shared prefix, now time.Time) shortlist {
-	if x == nil {
-		return allOf(q.Candidates)
+// selectCandidates returns the candidates that a choice evaluates: all of them if index is nil,
+// else a sample.
+func (b *Balancer) selectCandidates(q Query, index *candidateIndex, shared prefix, now time.Time) shortlist {
+	if index == nil {
+		return fullShortlist(q.Candidates)
 	}
 	l := lane{}
 	if q.Engine {
-		l = b.lanesOf(q.Service).laneOf(q, x.keys, now)
+		l = b.statsOf(q.Service).laneOf(q, index.keys, now)
 	}
-	return b.shorten(q, x, l, shared)
+	return b.sampleCandidates(q, index, l, shared)
 }
 
-// indexOf returns the index of a long list of candidates, nil for a short one.
+// indexOf returns the index of a long candidate list, nil for a short one.
 func (b *Balancer) indexOf(q Query) *candidateIndex {
-	if len(q.Candidates) <= lookAtAll {
+	if len(q.Candidates) <= maxFullScan {
 		return nil
 	}
-	x := b.indexes[q.Service]
-	if !x.isOf(q.Candidates) {
-		x = newCandidateIndex(q.Candidates)
-		b.indexes[q.Service] = x
+	index := b.indexes[q.Service]
+	if !index.covers(q.Candidates) {
+		index = newCandidateIndex(q.Candidates)
+		b.indexes[q.Service] = index
 	}
-	return x
+	return index
 }
 
-// usable are the candidates not tried before and not ejected; if all are ejected,
-// all of them. Limited ones that have had this box's part, those that back off and those that signal
-// that they leave are left out in any case; the latter are added to the idle servers of the query.
-func (b *Balancer) usable(q *Query, list shortlist, shared prefix, now time.Time) []choice {
-	fit := make([]choice, 0, len(list.at))
+// eligible returns the candidates that are neither excluded nor ejected; if all are ejected, all
+// of those. It always omits servers whose rate limit is used up, servers that back off, and
+// servers that are leaving. The latter are added to q.Draining.
+func (b *Balancer) eligible(q *Query, list shortlist, shared prefix, now time.Time) []choice {
+	eligible := make([]choice, 0, len(list.positions))
 	var ejected []choice
-	for i, at := range list.at {
-		c := &q.Candidates[at]
+	for i, position := range list.positions {
+		c := &q.Candidates[position]
 		if slices.Contains(q.Exclude, c.Life()) {
 			continue
 		}
@@ -117,67 +119,67 @@
 			q.Draining = append(slices.Clip(q.Draining), *c)
 			continue
 		}
-		other := b.other(s.key, now)
-		limit := b.limitOf(q, c, s, state, other, now)
+		peers := b.peerLoad(s.key, now)
+		limit := b.rateLimit(q, c, s, state, peers, now)
 		if !limit.None() && (q.SkipLimited || !b.limiter.Allows(c.Life(), limit, now)) {
 			continue
 		}
-		if state.Backoff == signals.BackingOff || state.Backoff == signals.HalfOpen && s.probing {
+		if state.Backoff == signals.BackingOff || state.Backoff == signals.HalfOpen && s.probeInFlight {
 			continue
 		}
-		x := choice{
-			Server: c, state: s, failures: s.health.failureShare(other, now), load: s.load().Plus(other), candidateHome: i < list.homes,
+		candidate := choice{
+			Server: c, state: s, failureRatio: s.health.failureRatio(peers, now), load: s.load().Plus(peers), mayBeHome: i < list.homes,
 			limited: !limit.None(), probe: state.Backoff == signals.HalfOpen,
 		}
-		x.cached, x.prefilled = s.cached.longest(shared, now)
-		if now.Before(s.health.ejected) || x.ejectedByOthers(other, now) {
-			ejected = append(ejected, x)
+		candidate.cachedTokens, candidate.prefilledTokens = s.cached.longestPrefix(shared, now)
+		if now.Before(s.health.ejectedUntil) || candidate.ejectedByPeers(peers, now) {
+			ejected = append(ejected, candidate)
 			continue
 		}
-		fit = append(fit, x)
+		eligible = append(eligible, candidate)
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return ejected
 	}
-	return fit
+	return eligible
 }
 
-// ejectedByOthers tells whether other boxes can't reach the server, or saw it fail again and
-// again, and this box has no better word of its own.
-func (c *choice) ejectedByOthers(other Load, now time.Time) bool {
-	failing := other.FailureReports >= failingLeast && c.failures >= ejectShare
-	return (other.DownReports >= downLeast || failing) && now.Sub(c.state.health.reached) > ownWord
+// ejectedByPeers reports whether other boxes can't reach the server, or have seen it fail
+// repeatedly, while this box has had no recent success there.
+func (c *choice) ejectedByPeers(peers Load, now time.Time) bool {
+	failing := peers.FailureReports >= minFailureReports && c.failureRatio >= peerEjectRatio
+	return (peers.DownReports >= minDownReports || failing) && now.Sub(c.state.health.lastSuccess) > ownSuccessTTL
 }
 
-// leastFailures is the share of failures of the best candidate.
-func leastFailures(choices []choice) float64 {
-	least := choices[0].failures
+// minFailureRatio returns the lowest failure ratio of the choices.
+func minFailureRatio(choices []choice) float64 {
+	lowest := choices[0].failureRatio
 	for i := range choices {
-		least = min(least, choices[i].failures)
+		lowest = min(lowest, choices[i].failureRatio)
 	}
-	return least
+	return lowest
 }
 
-// homeOf is the first candidate of the request's lane in the rendezvous order of the
-// prompt's prefix. Every box that finds the same servers usable finds the same one.
+// homeOf returns the server of the request's lane that comes first in the rendezvous order of the
+// prompt's prefix. All boxes with the same eligible servers compute the same home.
 func homeOf(q Query, choices []choice, l lane) *server {
-	prefix := xxhash.Sum64String(q.prefix())
+	prefix := xxhash.Sum64String(q.prefixID())
 	var home *server
-	best := uint64(0)
+	bestScore := uint64(0)
 	for i := range choices {
 		state := choices[i].state
-		if !choices[i].candidateHome || !l.has(state.key) {
+		if !choices[i].mayBeHome || !l.contains(state.key) {
 			continue
 		}
-		if score := rendezvous(prefix, state.key); home == nil || score > best {
-			home, best = state, score
+		if score := rendezvousScore(prefix, state.key); home == nil || score > bestScore {
+			home, bestScore = state, score
 		}
 	}
 	return home
 }
 
-// rendezvous is the rank of a server for a prefix.
-func rendezvous(prefix uint64, key ServerKey) uint64 {
+// rendezvousScore returns the rendezvous hash of a prefix and a server.
+func rendezvousScore(prefix uint64, key ServerKey) uint64 {
 	var buffer [12]byte
 	binary.LittleEndian.PutUint64(buffer[:8], prefix)
 	binary.LittleEndian.PutUint32(buffer[8:], uint32(key))
--- a/pkg/balancer/class.go
+++ b/pkg/balancer/class.go
@@ -7,104 +7,105 @@
 )
 
 const (
-	// interactiveRatio is how many times more a class must lose by the prefills of the
-	// others than the others lose by its own to count as interactive. Classes that differ
-	// only by chance stay well below it (TestClassesThatDifferByChanceAreNotInteractive).
-	interactiveRatio = 4.0
-	// profileTime is the time over which the profile of a class is averaged.
-	profileTime = 10 * time.Second
-	// streamingPrior is the length of a stream that is assumed until one has ended.
-	streamingPrior = time.Second
-	// pausePrior is the pause that streams may have where none is set.
-	pausePrior = time.Second
-	// streamingWeight is the weight of a new stream in the mean length of its class.
-	streamingWeight = 0.1
-	// classesMost bounds the classes that are remembered of one service.
-	classesMost = 64
+	// minInteractiveRatio is the factor by which a class must suffer more from the prefills of
+	// other classes than they suffer from its own to count as interactive. Classes that differ
+	// only by chance stay well below it.
+	minInteractiveRatio = 4.0
+	// profileDecayTime is the time constant of the decay of class profiles.
+	profileDecayTime = 10 * time.Second
+	// initialStreamDuration is the assumed stream duration until a stream has ended.
+	initialStreamDuration = time.Second
+	// defaultEventInterval is the interval between events that streams may have if none is set.
+	defaultEventInterval = time.Second
+	// streamDurationWeight is the weight of a new stream in the mean duration of its class.
+	streamDurationWeight = 0.1
+	// maxClasses bounds the profiles kept for one service.
+	maxClasses = 64
 )
 
-// profile is what the requests of one class do to an engine, and what they suffer there,
-// summed over recent requests.
+// profile describes the load that recent requests of a class put on engines, and how sensitive
+// they are to the load of others.
 type profile struct {
-	// prefill is the tokens to prefill: each delays the tokens of the streams that run
-	// beside it.
-	prefill float64
-	// exposure is the time spent streaming, counted in pauses that the class may have:
-	// the longer a stream and the tighter its target, the more a prefill beside it costs.
+	// prefillTokens is the decayed sum of tokens to prefill: each delays the tokens of concurrent
+	// streams.
+	prefillTokens float64
+	// exposure is the decayed sum of stream durations, in units of the interval that the class
+	// permits between events: the longer a stream and the tighter its target, the more a
+	// concurrent prefill hurts.
 	exposure float64
-	// streaming is the mean length of a stream.
-	streaming time.Duration
-	// updated is when the sums were last decayed, seen when a request last came.
-	updated time.Time
-	seen    time.Time
+	// streamDuration is the mean duration of a stream.
+	streamDuration time.Duration
+	// decayedAt is when the sums were last decayed.
+	decayedAt   time.Time
+	lastRequest time.Time
 }
 
-// decay lets old requests count less.
+// decay reduces the weight of old requests.
 func (p *profile) decay(now time.Time) {
-	if !p.updated.IsZero() {
-		f := math.Exp(-now.Sub(p.updated).Seconds() / profileTime.Seconds())
-		p.prefill *= f
+	if !p.decayedAt.IsZero() {
+		f := math.Exp(-now.Sub(p.decayedAt).Seconds() / profileDecayTime.Seconds())
+		p.prefillTokens *= f
 		p.exposure *= f
 	}
-	p.updated = now
+	p.decayedAt = now
 }
 
-// profiles are those of the classes of one service.
+// profiles holds the class profiles of one service.
 type profiles map[string]*profile
 
-// of returns the profile of a class. A new one takes the place of the class that was
-// not seen for longest if there are too many.
+// of returns the profile of a class, creating it if needed. A new one may evict the least recently
+// used one.
 func (s profiles) of(class string, now time.Time) *profile {
 	p, ok := s[class]
 	if !ok {
-		if len(s) >= classesMost {
-			s.evict()
+		if len(s) >= maxClasses {
+			s.evictOldest()
 		}
-		p = &profile{streaming: streamingPrior, seen: now}
+		p = &profile{streamDuration: initialStreamDuration, lastRequest: now}
 		s[class] = p
 	}
 	p.decay(now)
 	return p
 }
 
-// evict forgets the class that was not seen for longest.
-func (s profiles) evict() {
+// evictOldest removes the class whose last request is the oldest.
+func (s profiles) evictOldest() {
 	var oldest string
 	for name, p := range s {
-		if oldest == "" || p.seen.Before(s[oldest].seen) {
+		if oldest == "" || p.lastRequest.Before(s[oldest].lastRequest) {
 			oldest = name
 		}
 	}
 	delete(s, oldest)
 }
 
-// add takes in a request that starts: the tokens to prefill for it, and the pause that
-// its stream may have, zero if none is set.
-func (s profiles) add(class string, prefill int, pause time.Duration, now time.Time) {
+// recordStart records a request with the tokens to prefill and the interval permitted between the
+// events of its stream, zero if none is set.
+func (s profiles) recordStart(class string, prefillTokens int, maxEventInterval time.Duration, now time.Time) {
 	p := s.of(class, now)
-	p.seen = now
-	p.prefill += float64(prefill)
-	p.exposure += p.streaming.Seconds() / cmp.Or(pause, pausePrior).Seconds()
+	p.lastRequest = now
+	p.prefillTokens += float64(prefillTokens)
+	p.exposure += p.streamDuration.Seconds() / cmp.Or(maxEventInterval, defaultEventInterval).Seconds()
 }
 
-// ended takes in the length of a stream.
-func (s profiles) ended(class string, length time.Duration, now time.Time) {
+// recordStreamEnd records the duration of a stream.
+func (s profiles) recordStreamEnd(class string, duration time.Duration, now time.Time) {
 	p := s.of(class, now)
-	p.streaming += time.Duration(streamingWeight * float64(length-p.streaming))
+	p.streamDuration += time.Duration(streamDurationWeight * float64(duration-p.streamDuration))
 }
 
-// interactive tells whether a class loses far more by the prefills of the other classes than
-// they lose by its own. A service with one class has none.
+// interactive reports whether a class suffers far more from the prefills of the other classes than
+// they suffer from its own. It is false if the service has only one class.
 func (s profiles) interactive(class string, now time.Time) bool {
 	p := s.of(class, now)
 	var others profile
-	for name, o := range s {
+	for name, other := range s {
 		if name == class {
 			continue
 		}
-		o.decay(now)
-		others.prefill += o.prefill
-		others.exposure += o.exposure
+		other.decay(now)
+		others.prefillTokens += other.prefillTokens
+		others.exposure += other.exposure
 	}
-	return p.exposure*others.prefill > interactiveRatio*others.exposure*p.prefill
+	return p.exposure*others.prefillTokens > minInteractiveRatio*others.exposure*p.prefillTokens
 }
--- a/pkg/balancer/class_test.go
+++ b/pkg/balancer/class_test.go
@@ -10,23 +10,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// traffic is one class of a drawn load.
+// traffic is the simulated load of one class.
 type traffic struct {
 	class string
-	// perSecond requests have prompts of tokens on average, with a long tail, and streams
-	// of a length with pauses of at most pause.
-	perSecond float64
-	tokens    float64
-	streaming time.Duration
-	pause     time.Duration
+	// perSecond is the request rate. tokens is the mean prompt length, with a long tail,
+	// streamDuration the mean duration of a stream.
+	perSecond        float64
+	tokens           float64
+	streamDuration   time.Duration
+	maxEventInterval time.Duration
 }
 
-// play feeds the profiles with seconds of load, and returns how often each class counted
-// as interactive among the requests of the second half.
-func play(r *rand.Rand, classes []traffic, seconds float64) map[string]float64 {
+// simulate feeds the profiles with seconds of load, and returns for each class the ratio of
+// requests in the second half for which it counted as interactive.
+func simulate(r *rand.Rand, classes []traffic, seconds float64) map[string]float64 {
 	s := make(profiles)
 	start := time.Now()
-	asked, interactive := make(map[string]float64), make(map[string]float64)
+	requests, interactive := make(map[string]float64), make(map[string]float64)
 	total := 0.0
 	for _, c := range classes {
 		total += c.perSecond
@@ -39,28 +39,28 @@
 				continue
 			}
 			if at > seconds/2 {
-				asked[c.class]++
+				requests[c.class]++
 				if s.interactive(c.class, now) {
 					interactive[c.class]++
 				}
 			}
-			s.add(c.class, int(c.tokens*math.Exp(r.NormFloat64()-0.5)), c.pause, now)
-			s.ended(c.class, time.Duration(r.ExpFloat64()*float64(c.streaming)), now)
+			s.recordStart(c.class, int(c.tokens*math.Exp(r.NormFloat64()-0.5)), c.maxEventInterval, now)
+			s.recordStreamEnd(c.class, time.Duration(r.ExpFloat64()*float64(c.streamDuration)), now)
 			break
 		}
 	}
 	for class := range interactive {
-		interactive[class] /= asked[class]
+		interactive[class] /= requests[class]
 	}
 	return interactive
 }
 
-// Questions with short prompts and long streams are told from reports with long prompts,
-// whatever their shares of the load and though lengths vary.
+// A class with short prompts and long streams is distinguished from one with long prompts whatever
+// their shares of the load and the variance of lengths.
 func TestInteractiveClassIsToldInEachMix(t *testing.T) {
 	for _, ratio := range []float64{0.2, 1, 5} {
 		t.Run(fmt.Sprint(ratio), func(t *testing.T) {
-			interactive := play(rand.New(rand.NewPCG(1, 2)), []traffic{
+			interactive := simulate(rand.New(rand.NewPCG(1, 2)), []traffic{
 				{"questions", 4 * ratio, 826, 3 * time.Second, 200 * time.Millisecond},
 				{"reports", 2, 2890, 400 * time.Millisecond, 300 * time.Millisecond},
 			}, 60)
@@ -72,7 +72,7 @@
 
 func TestClassesThatDifferByChanceAreNotInteractive(t *testing.T) {
 	for seed := range uint64(20) {
-		interactive := play(rand.New(rand.NewPCG(seed, 2)), []traffic{
+		interactive := simulate(rand.New(rand.NewPCG(seed, 2)), []traffic{
 			{"one", 4, 3000, time.Second, 300 * time.Millisecond},
 			{"two", 4, 3000, time.Second, 300 * time.Millisecond},
 		}, 60)
@@ -81,16 +81,16 @@
 }
 
 func TestOneClassIsNotInteractive(t *testing.T) {
-	assert.Empty(t, play(rand.New(rand.NewPCG(1, 2)), []traffic{{"only", 4, 826, time.Second, 200 * time.Millisecond}}, 20))
+	assert.Empty(t, simulate(rand.New(rand.NewPCG(1, 2)), []traffic{{"only", 4, 826, time.Second, 200 * time.Millisecond}}, 20))
 }
 
-// The first requests of a class tell it already.
-func TestInteractiveClassIsToldAtOnce(t *testing.T) {
+// The first request of each class is enough.
+func TestInteractiveClassIsDetectedFromFirstRequests(t *testing.T) {
 	now := time.Now()
 	s := make(profiles)
 	assert.False(t, s.interactive("questions", now))
-	s.add("questions", 826, 200*time.Millisecond, now)
-	s.add("reports", 9190, 300*time.Millisecond, now)
+	s.recordStart("questions", 826, 200*time.Millisecond, now)
+	s.recordStart("reports", 9190, 300*time.Millisecond, now)
 	assert.True(t, s.interactive("questions", now))
 	assert.False(t, s.interactive("reports", now))
 }
@@ -98,10 +98,10 @@
 func TestProfilesAreBounded(t *testing.T) {
 	now := time.Now()
 	s := make(profiles)
-	for i := range 3 * classesMost {
-		s.add(fmt.Sprint(i), 100, time.Second, now.Add(time.Duration(i)*time.Second))
+	for i := range 3 * maxClasses {
+		s.recordStart(fmt.Sprint(i), 100, time.Second, now.Add(time.Duration(i)*time.Second))
 	}
-	assert.Len(t, s, classesMost)
-	assert.Contains(t, s, fmt.Sprint(3*classesMost-1))
+	assert.Len(t, s, maxClasses)
+	assert.Contains(t, s, fmt.Sprint(3*maxClasses-1))
 	assert.NotContains(t, s, "0")
 }
--- a/pkg/balancer/cost.go
+++ b/pkg/balancer/cost.go
@@ -6,94 +6,92 @@
 	"time"
 )
 
-// Costs are counted in tokens of a prompt that an engine has to prefill. The weights were
-// chosen by rounds on the users' bench: docs/measurements/platform.md and inspection.md.
+// Costs are counted in tokens of a prompt that an engine has to prefill.
 const (
-	// missFactor is what a shared part that has to be prefilled again costs beside the
-	// time that it takes: a prefill also delays what runs there.
+	// missFactor is the cost per token of prefilling a shared part again. It exceeds one because a
+	// prefill also delays concurrent streams.
 	missFactor = 3.0
-	// busyTokens is the mean backlog of a server, in tokens, at which a repeated prefill costs
-	// once more: the busier all are, the more requests it delays.
-	busyTokens = 3000.0
-	// coldFactor is what a token of a prefix that no server is known to have cached as a
-	// whole costs away from its home, where other boxes look for it.
-	coldFactor = 1.0
-	// transferFactor is what a token costs that is taken from another server.
+	// busyBacklogTokens is the mean backlog of a server at which the cost of a repeated prefill
+	// rises by one per token: the busier the servers, the more requests it delays.
+	busyBacklogTokens = 3000.0
+	// coldPrefixFactor is the extra cost per token of prefilling, away from its home, a prefix
+	// that no server is known to have cached completely. Other boxes look for it at its home.
+	coldPrefixFactor = 1.0
+	// transferFactor is the cost per token transferred from another server.
 	transferFactor = 2.0
-	// occupancyCost is what a server costs whose places are all taken; less of it the
-	// fewer are, by the square.
+	// occupancyCost is the cost of a server with all slots taken. The cost grows with the square
+	// of the occupancy.
 	occupancyCost = 8000.0
-	// queueCost is what each request costs that waits at a server for a place.
+	// queueCost is the cost per request waiting at a server for a slot.
 	queueCost = 2000.0
-	// memoryShare is the part of an engine's memory that may be taken without a cost. Beyond
-	// it, running requests may be preempted and prefilled anew: memoryCost for each token.
-	memoryShare = 0.8
-	memoryCost  = 3.0
-	// byteCost is what one byte sent to another hall costs.
+	// memoryThreshold is the ratio of an engine's memory that may be occupied without a cost.
+	// Beyond it, running requests may be preempted and prefilled again; each token costs
+	// memoryCost.
+	memoryThreshold = 0.8
+	memoryCost      = 3.0
+	// byteCost is the cost per byte sent to another hall.
 	byteCost = 0.05
-	// answerBytes is the size of an answer that is guessed.
-	answerBytes = 2000
-	// spreadFactor is how many times the load that this box can't know of chance adds to a
-	// server's cost at the most.
-	spreadFactor = 1.5
-	// reportAge is how old loads are when they arrive: about half of a summary's pause, and
-	// what is gathered before a report.
-	reportAge = 50 * time.Millisecond
-	// failureCost is what a share of failures of one costs.
+	// estimatedAnswerBytes is the assumed size of an answer.
+	estimatedAnswerBytes = 2000
+	// jitterFactor is the maximum jitter of a cost, as a multiple of the estimated unreported
+	// backlog.
+	jitterFactor = 1.5
+	// reportDelay is the age of peer loads on arrival: about half of the interval between
+	// summaries, plus the time for which reports are batched.
+	reportDelay = 50 * time.Millisecond
+	// failureCost is the cost of a failure ratio of one.
 	failureCost = 6000.0
-	// failureMost is how far beyond the best server's a share of failures may go for
-	// a request that can't be repeated.
-	failureMost = 0.1
+	// maxExcessFailureRatio is how far a server's failure ratio may exceed the best one for a
+	// request that can't be repeated.
+	maxExcessFailureRatio = 0.1
 )
 
-// placing is what the costs of one request's candidates have in common.
-type placing struct {
+// costContext holds what the costs of all candidates of one request share.
+type costContext struct {
 	query    Query
 	prefix   prefix
 	missCost float64
-	// home is where all boxes send a prefix that no server is known to have cached as a
-	// whole; nil if one has, and without a prefix.
+	// home is the server to which all boxes send a prefix that no server is known to have cached
+	// completely; nil if one has, or without a prefix.
 	home *server
-	// source has prefilled more of the prefix than any other candidate.
+	// source is the server that has prefilled the most of the prefix.
 	source choice
 	lane   lane
-	// spread is the most that chance adds to a cost, so that boxes that know the same do
-	// not all choose the same server.
-	spread float64
+	// maxJitter bounds the random part of a cost, which keeps boxes with the same view from all
+	// choosing the same server.
+	maxJitter float64
 }
 
-// placing works out what the candidates' costs have in common.
-func (b *Balancer) placing(q Query, shared prefix, x *candidateIndex, choices []choice, now time.Time) placing {
-	p := placing{query: q, prefix: shared}
-	known := 0
+// newCostContext computes what the costs of all choices share.
+func (b *Balancer) newCostContext(q Query, shared prefix, index *candidateIndex, choices []choice, now time.Time) costContext {
+	costs := costContext{query: q, prefix: shared}
+	maxCached := 0
 	backlog := 0
 	for i := range choices {
 		c := &choices[i]
-		known = max(known, c.cached)
+		maxCached = max(maxCached, c.cachedTokens)
 		backlog += c.load.Backlog
-		if p.source.Server == nil || c.prefilled > p.source.prefilled || c.prefilled == p.source.prefilled && c.Hall == q.Hall {
-			p.source = *c
+		if costs.source.Server == nil || c.prefilledTokens > costs.source.prefilledTokens || c.prefilledTokens == costs.source.prefilledTokens && c.Hall == q.Hall {
+			costs.source = *c
 		}
 	}
-	p.source = b.idleSource(q, shared, p.source, now)
+	costs.source = b.drainingSource(q, shared, costs.source, now)
 	if q.Engine {
-		lanes, keys := b.lanesOf(q.Service), keysOf(x, choices)
-		p.lane = lanes.laneOf(q, keys, now)
-		p.spread = spreadFactor * b.unheard(lanes, p.lane, len(keys), now)
+		stats, keys := b.statsOf(q.Service), keysOf(index, choices)
+		costs.lane = stats.laneOf(q, keys, now)
+		costs.maxJitter = jitterFactor * b.unreportedBacklog(stats, costs.lane, len(keys), now)
 	}
-	p.missCost = missFactor + float64(backlog)/float64(len(choices))/busyTokens
-	if known < p.prefix.tokens {
-		p.home = homeOf(q, choices, p.lane)
+	costs.missCost = missFactor + float64(backlog)/float64(len(choices))/busyBacklogTokens
+	if maxCached < costs.prefix.tokens {
+		costs.home = homeOf(q, choices, costs.lane)
 	}
-	return p
+	return costs
 }
 
-// idleSource is a server that is leaving, if it has prefilled more of the prefix than any
-// that stays: what is not taken from it before it is gone has to be prefilled again. Where a
-// third of 180 engines went in a burst, 0.961 in place of 0.947 of a day's requests were served
-// (one day each).
-func (b *Balancer) idleSource(q Query, shared prefix, best choice, now time.Time) choice {
-	if best.prefilled >= shared.tokens {
+// drainingSource returns a draining server if it has prefilled more of the prefix than best, else
+// best. What is not transferred from it before it is gone has to be prefilled again.
+func (b *Balancer) drainingSource(q Query, shared prefix, best choice, now time.Time) choice {
+	if best.prefilledTokens >= shared.tokens {
 		return best
 	}
 	for i := range q.Draining {
@@ -101,76 +99,76 @@
 		if !known {
 			continue
 		}
-		if _, prefilled := s.cached.longest(shared, now); prefilled > best.prefilled {
-			best = choice{Server: &q.Draining[i], state: s, prefilled: prefilled}
+		if _, prefilled := s.cached.longestPrefix(shared, now); prefilled > best.prefilledTokens {
+			best = choice{Server: &q.Draining[i], state: s, prefilledTokens: prefilled}
 		}
 	}
 	return best
 }
 
-// price works out the cost of a candidate.
-func (p *placing) price(c *choice) {
-	c.home = c.state == p.home
-	c.cost = float64(c.load.Backlog) + p.roomCost(c) + p.lane.cost(c.state.key)
-	c.cost += failureCost * c.failures
-	c.cost += p.prefixCost(c)
-	if c.Hall != p.query.Hall {
-		c.cost += byteCost * float64(p.query.BodyBytes+answerBytes)
+// computeCost sets the cost of a candidate.
+func (costs *costContext) computeCost(c *choice) {
+	c.isHome = c.state == costs.home
+	c.cost = float64(c.load.Backlog) + costs.capacityCost(c) + costs.lane.cost(c.state.key)
+	c.cost += failureCost * c.failureRatio
+	c.cost += costs.prefixCost(c)
+	if c.Hall != costs.query.Hall {
+		c.cost += byteCost * float64(costs.query.BodyBytes+estimatedAnswerBytes)
 	}
-	c.cost += rand.Float64() * p.spread
+	c.cost += rand.Float64() * costs.maxJitter
 }
 
-// roomCost is what the places and the memory cost that are taken.
-func (p *placing) roomCost(c *choice) float64 {
-	taken := c.occupancy()
-	return occupancyCost*taken*taken + queueCost*float64(c.waiting()) + memoryCost*float64(p.memoryOver(c))
+// capacityCost is the cost of the slots and the memory in use.
+func (costs *costContext) capacityCost(c *choice) float64 {
+	occupancy := c.occupancy()
+	return occupancyCost*occupancy*occupancy + queueCost*float64(c.queued()) + memoryCost*float64(costs.excessMemoryTokens(c))
 }
 
-// prefixCost is what the prompt's prefix costs that the server has not cached. It works out
-// what can be transferred.
-func (p *placing) prefixCost(c *choice) float64 {
-	missing := p.prefix.tokens - c.cached
+// prefixCost is the cost of the part of the prefix that the server has not cached. It also sets
+// what is transferred from the source.
+func (costs *costContext) prefixCost(c *choice) float64 {
+	missing := costs.prefix.tokens - c.cachedTokens
 	cost := 0.0
-	if transferred := p.source.prefilled - c.cached; transferred > 0 {
-		c.source, c.transferred = p.source.Address, transferred
+	if transferred := costs.source.prefilledTokens - c.cachedTokens; transferred > 0 {
+		c.source, c.transferredTokens = costs.source.Address, transferred
 		cost = transferFactor * float64(transferred)
 		missing -= transferred
 	}
-	if p.home == nil {
-		return cost + p.missCost*float64(missing)
+	if costs.home == nil {
+		return cost + costs.missCost*float64(missing)
 	}
-	if !c.home {
-		cost += coldFactor * float64(p.prefix.tokens)
+	if !c.isHome {
+		cost += coldPrefixFactor * float64(costs.prefix.tokens)
 	}
 	return cost + float64(missing)
 }
 
-// memoryOver is how many tokens of memory the running requests and this one may take beyond
-// what the engine can well hold. Those that wait for a place take none.
-func (p *placing) memoryOver(c *choice) int {
-	if p.query.EngineMemoryTokens == 0 {
+// excessMemoryTokens returns by how many tokens the running requests and this one may exceed the
+// memory threshold. Requests waiting for a slot occupy no memory.
+func (costs *costContext) excessMemoryTokens(c *choice) int {
+	if costs.query.EngineMemoryTokens == 0 {
 		return 0
 	}
-	taken := c.load.MemoryTokens
+	used := c.load.MemoryTokens
 	if c.Slots > 0 && c.load.Running > c.Slots {
-		taken = taken * c.Slots / c.load.Running
+		used = used * c.Slots / c.load.Running
 	}
-	return max(0, taken+p.query.PromptTokens+p.query.MaxOutputTokens-int(memoryShare*float64(p.query.EngineMemoryTokens)))
+	return max(0, used+costs.query.PromptTokens+costs.query.MaxOutputTokens-int(memoryThreshold*float64(costs.query.EngineMemoryTokens)))
 }
 
-// unheard is how many tokens the other boxes may have sent to one server of a lane since
-// their loads were heard: between its share, if they spread, and all, if they all chose it,
-// the geometric mean.
-func (b *Balancer) unheard(l *lanes, in lane, servers int, now time.Time) float64 {
-	if b.othersHeard.IsZero() {
+// unreportedBacklog estimates how many tokens the other boxes have sent to one server of the lane
+// since their last report: the geometric mean of an even share, if they spread, and of all, if
+// they all chose that server.
+func (b *Balancer) unreportedBacklog(stats *serviceStats, l lane, servers int, now time.Time) float64 {
+	if b.peerLoadsAt.IsZero() {
 		return 0
 	}
-	age := min(now.Sub(b.othersHeard), othersFor) + reportAge
-	return l.others.of(in.interactive) * age.Seconds() / math.Sqrt(float64(in.servers(servers)))
+	age := min(now.Sub(b.peerLoadsAt), peerLoadTTL) + reportDelay
+	return stats.peers.inLane(l.interactive) * age.Seconds() / math.Sqrt(float64(l.serverCount(servers)))
 }
 
-// occupancy is the part of the server's places that are taken, none if it does not say how
-// many it has.
+// occupancy returns the ratio of the server's slots that are taken, zero if the number of slots is
+// unknown.
 func (c *choice) occupancy() float64 {
 	if c.Slots == 0 {
 		return 0
@@ -178,8 +176,8 @@
 	return min(1, float64(c.load.Running)/float64(c.Slots))
 }
 
-// waiting is how many requests would wait at the server for a place, this one included.
-func (c *choice) waiting() int {
+// queued returns how many requests would wait at the server for a slot, this one included.
+func (c *choice) queued() int {
 	if c.Slots == 0 {
 		return 0
 	}
--- a/pkg/balancer/doc.go
+++ b/pkg/balancer/doc.go
@@ -1,4 +1,4 @@
-// Package balancer picks the backend server of a request. It rests on this box's own calls
-// and how they ended, on the loads that other boxes report, and on which server has cached
-// which part of a prompt. It has no network access: package loadshare exchanges the reports.
+// Package balancer picks the backend server for each request. A choice uses this box's own calls
+// and their results, the loads that other boxes report, and the prompt prefixes that each server
+// has cached. The package does no network I/O: package loadshare exchanges the reports.
 package balancer
--- a/pkg/balancer/health.go
+++ b/pkg/balancer/health.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Result is how a call to a server ended.
+// Result is the result of a call to a server.
 type Result int
 
 // Results of calls.
 const (
-	// ResultDone: the server answered.
+	// ResultDone means that the server answered.
 	ResultDone Result = iota
-	// ResultFailed: the server broke off, or answered that it failed.
+	// ResultFailed means that the connection broke or the server answered with a failure.
 	ResultFailed
-	// ResultUnreached: no connection came up.
+	// ResultUnreached means that no connection could be established.
 	ResultUnreached
-	// ResultRefused: the server said that it did not run the call.
+	// ResultRefused means that the server stated that it did not run the call.
 	ResultRefused
-	// ResultReplaced: another server has the address.
+	// ResultReplaced means that another server now has the address.
 	ResultReplaced
-	// ResultAbandoned: the caller left, or its time was over.
+	// ResultAbandoned means that the caller disconnected or its deadline passed.
 	ResultAbandoned
 )
 
@@ -30,120 +30,119 @@
 }
 
 const (
-	// failureHalfLife is the time after which a failure counts half.
+	// failureHalfLife is the half-life of the failure counts.
 	failureHalfLife = 3 * time.Second
-	// ejectFirst is how long an unreached server gets nothing; each further
-	// failure in a row doubles it up to ejectMost. A server that refused a call is full
-	// and soon has room: it gets nothing for ejectRefused.
-	ejectFirst   = 500 * time.Millisecond
-	ejectMost    = 4 * time.Second
-	ejectRefused = 150 * time.Millisecond
-	// ejectReplaced lasts until the list has lost the server, which is gone.
-	ejectReplaced = time.Minute
-	// priorCalls are counted as calls that went well, so that one failure among
-	// few calls says little.
-	priorCalls = 4
-	// brokenInARow is how many failures in a row eject a server.
-	brokenInARow = 3
+	// minEjection is how long an unreachable server is ejected. Each further failure in a row
+	// doubles it, up to maxEjection. A server that refused a call is full for a short time only,
+	// and is ejected for refusedEjection.
+	minEjection     = 500 * time.Millisecond
+	maxEjection     = 4 * time.Second
+	refusedEjection = 150 * time.Millisecond
+	// replacedEjection outlasts the time until the replaced server is removed from the list.
+	replacedEjection = time.Minute
+	// priorSuccesses is added to the calls in the failure ratio, so that one failure among few
+	// calls has little effect.
+	priorSuccesses = 4
+	// failuresToEject is the number of failures in a row that ejects a reachable server.
+	failuresToEject = 3
 )
 
-// health is this box's evidence on one server.
+// health is this box's record of the calls to one server.
 type health struct {
-	failures float64 // decayed counts
+	failures float64 // decayed, as are calls and serverFailures
 	calls    float64
-	// broken counts the failures of calls that reached the server: a cut path says nothing
-	// of it to others.
-	broken  float64
-	counted time.Time
-	inARow  int
-	// ejected is until when the server gets nothing.
-	ejected time.Time
-	// reached is when the server last answered well; unreachable says that it was
-	// ejected because it can't be reached.
-	reached     time.Time
+	// serverFailures counts only the failures of calls that reached the server. Only these are
+	// reported to other boxes, as other failures may be due to this box's network path.
+	serverFailures      float64
+	decayedAt           time.Time
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	// lastSuccess is when a call last succeeded. unreachable is set if the server was ejected
+	// because it can't be reached.
+	lastSuccess time.Time
 	unreachable bool
 }
 
-// down tells whether the server is ejected because it can't be reached.
-func (h *health) down(now time.Time) bool { return h.unreachable && now.Before(h.ejected) }
+// down reports whether the server is ejected because it can't be reached.
+func (h *health) down(now time.Time) bool { return h.unreachable && now.Before(h.ejectedUntil) }
 
-// note takes the end of a call in. It returns how long the server is ejected.
-func (h *health) note(r Result, now time.Time) time.Duration {
+// record records the result of a call. It returns for how long the server is ejected.
+func (h *health) record(r Result, now time.Time) time.Duration {
 	h.decay(now)
 	switch r {
 	case ResultAbandoned:
 		return 0
 	case ResultDone:
 		h.calls++
-		h.inARow = 0
-		h.ejected = time.Time{}
-		h.reached = now
+		h.consecutiveFailures = 0
+		h.ejectedUntil = time.Time{}
+		h.lastSuccess = now
 		h.unreachable = false
 		return 0
 	case ResultRefused:
-		return h.eject(ejectRefused, now)
+		return h.eject(refusedEjection, now)
 	case ResultReplaced:
 		h.unreachable = true
-		return h.eject(ejectReplaced, now)
+		return h.eject(replacedEjection, now)
 	}
 	h.calls++
 	h.failures++
-	h.inARow++
+	h.consecutiveFailures++
 	if r == ResultFailed {
-		h.broken++
+		h.serverFailures++
 	}
-	if r == ResultFailed && h.inARow < brokenInARow {
+	if r == ResultFailed && h.consecutiveFailures < failuresToEject {
 		return 0
 	}
 	h.unreachable = r == ResultUnreached
-	d := ejectFirst << min(h.inARow-1, 8)
-	return h.eject(min(d, ejectMost), now)
+	duration := minEjection << min(h.consecutiveFailures-1, 8)
+	return h.eject(min(duration, maxEjection), now)
 }
 
-func (h *health) eject(d time.Duration, now time.Time) time.Duration {
-	if until := now.Add(d); until.After(h.ejected) {
-		h.ejected = until
+func (h *health) eject(duration time.Duration, now time.Time) time.Duration {
+	if until := now.Add(duration); until.After(h.ejectedUntil) {
+		h.ejectedUntil = until
 	}
-	return d
+	return duration
 }
 
 func (h *health) decay(now time.Time) {
-	if !h.counted.IsZero() {
-		f := math.Exp2(-now.Sub(h.counted).Seconds() / failureHalfLife.Seconds())
+	if !h.decayedAt.IsZero() {
+		f := math.Exp2(-now.Sub(h.decayedAt).Seconds() / failureHalfLife.Seconds())
 		h.failures *= f
 		h.calls *= f
-		h.broken *= f
+		h.serverFailures *= f
 	}
-	h.counted = now
+	h.decayedAt = now
 }
 
-// failureShare is the share of recent calls of all boxes that failed, drawn towards none
-// while there are few.
-func (h *health) failureShare(others Load, now time.Time) float64 {
-	if h.failures == 0 && others.ScaledFailures == 0 {
+// failureRatio returns the ratio of recent calls of all boxes that failed, biased towards zero
+// while there are few calls.
+func (h *health) failureRatio(peers Load, now time.Time) float64 {
+	if h.failures == 0 && peers.ScaledFailures == 0 {
 		return 0
 	}
 	h.decay(now)
-	return (h.failures + float64(others.ScaledFailures)/countScale) / (h.calls + float64(others.ScaledCalls)/countScale + priorCalls)
+	return (h.failures + float64(peers.ScaledFailures)/countScale) / (h.calls + float64(peers.ScaledCalls)/countScale + priorSuccesses)
 }
 
-// brokenLeast is how much of a failure must be left to be told: less is as good as none.
-const brokenLeast = 0.1
+// minReportedFailures is the decayed failure count below which failures are not reported.
+const minReportedFailures = 0.1
 
-// report adds to a load what other boxes should know of this one's calls: failures, and
-// where other boxes have seen failures how many calls there were.
-func (h *health) report(l *Load, othersFail bool, now time.Time) {
-	if h.broken == 0 && !othersFail {
+// addTo adds to a load what other boxes should know of this box's calls: the failures and, if any
+// box has seen failures, the number of calls.
+func (h *health) addTo(l *Load, peersReportFailures bool, now time.Time) {
+	if h.serverFailures == 0 && !peersReportFailures {
 		return
 	}
 	h.decay(now)
-	if h.broken >= brokenLeast {
+	if h.serverFailures >= minReportedFailures {
 		l.FailureReports = 1
-		l.ScaledFailures = scaled(h.broken)
+		l.ScaledFailures = scaleCount(h.serverFailures)
 	}
-	if l.FailureReports > 0 || othersFail {
-		l.ScaledCalls = scaled(h.calls)
+	if l.FailureReports > 0 || peersReportFailures {
+		l.ScaledCalls = scaleCount(h.calls)
 	}
 }
 
-func scaled(count float64) int { return int(math.Round(count * countScale)) }
+func scaleCount(count float64) int { return int(math.Round(count * countScale)) }
--- a/pkg/balancer/lanes.go
+++ b/pkg/balancer/lanes.go
@@ -7,37 +7,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// While an engine prefills a long prompt, the tokens of all that runs beside it come slowly.
-// So requests of interactive classes get servers of their own, a lane, as many as their share
-// of all prefills asks for; the rest is the bulk lane. Lanes are preferences: a server of the
-// other lane is taken when it costs less all the same.
+// While an engine prefills a long prompt, the streams that run on it slow down. Requests of
+// interactive classes therefore prefer servers of their own, the interactive lane, whose size
+// follows their share of all prefills; the rest is the bulk lane. A server of the other lane is
+// still used if it costs less.
 const (
-	// laneHeadroom is how many servers the interactive lane gets beyond its share.
-	laneHeadroom = 2.0
-	// laneMost bounds the interactive lane's part of the servers.
-	laneMost = 0.6
-	// interactiveAwayCost is what an interactive request costs in the bulk lane,
-	// bulkAwayCost what another costs in the interactive lane, in tokens to prefill; both were
-	// chosen by measured rounds (docs/measurements/platform.md).
-	interactiveAwayCost = 6000.0
-	bulkAwayCost        = 20000.0
-	// demandTime is the time over which demand is averaged.
-	demandTime = 2 * time.Second
+	// laneHeadroomFactor is the size of the interactive lane as a multiple of its share of the
+	// demand.
+	laneHeadroomFactor = 2.0
+	// maxLaneShare bounds the interactive lane's share of the servers.
+	maxLaneShare = 0.6
+	// interactiveOffLaneCost is the cost, in tokens to prefill, of an interactive request in the
+	// bulk lane; bulkOffLaneCost that of a bulk request in the interactive lane.
+	interactiveOffLaneCost = 6000.0
+	bulkOffLaneCost        = 20000.0
+	// demandDecayTime is the time constant of the decay of demand.
+	demandDecayTime = 2 * time.Second
 )
 
-// Demand is what the requests of a service have its servers prefill, in tokens a second.
+// Demand is the prefill load of a service. Interactive and Bulk are in tokens per second.
 type Demand struct {
 	Interactive float64
 	Bulk        float64
-	// SpeedSum adds up the speeds, in tokens a second, at which engines were seen to prefill,
-	// one for each of so many Samples.
+	// SpeedSum is the observed prefill speed of engines, in tokens per second, multiplied by the
+	// number of Samples, so that sums yield a weighted mean.
 	SpeedSum float64
 	Samples  int
-	// PendingPrefill is what the requests that have had no event yet wait for.
+	// PendingPrefill counts the tokens of requests that have had no event yet.
 	PendingPrefill PendingPrefill
 }
 
-// Plus is the demand of both.
+// Plus returns the sum of d and o.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{
 		Interactive: d.Interactive + o.Interactive, Bulk: d.Bulk + o.Bulk,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Minus is the demand without a part of it, which may be newer than the whole.
+// Minus returns d without o. Nothing goes below zero, as o may be more recent than d.
 func (d Demand) Minus(o Demand) Demand {
 	return Demand{
 		Interactive: max(0, d.Interactive-o.Interactive), Bulk: max(0, d.Bulk-o.Bulk),
@@ -54,128 +54,128 @@
 	}
 }
 
-// samplesLeast is how many prefills must have been seen for their mean speed to be believed.
-// Boxes that have just started do not know what is cached, so that prefills seem fast.
-const samplesLeast = 10
+// minSpeedSamples is the number of observed prefills from which their mean speed is used. Boxes
+// that have just started do not know what is cached, so prefills appear too fast.
+const minSpeedSamples = 10
 
-// speed is the mean speed, zero where too little was seen.
+// speed returns the mean prefill speed in tokens per second, zero if there are too few samples.
 func (d Demand) speed() float64 {
-	if d.Samples < samplesLeast {
+	if d.Samples < minSpeedSamples {
 		return 0
 	}
 	return d.SpeedSum / float64(d.Samples)
 }
 
-// of is the demand in one lane.
-func (d Demand) of(interactive bool) float64 {
+// inLane returns the demand in one lane.
+func (d Demand) inLane(interactive bool) float64 {
 	if interactive {
 		return d.Interactive
 	}
 	return d.Bulk
 }
 
-// ServiceKey is a service's name as boxes name it to each other, in short.
+// ServiceKey is a hash of a service's name, used in messages between boxes.
 type ServiceKey uint32
 
-// ServiceKeyOf is the key of a service.
+// ServiceKeyOf returns the key of a service.
 func ServiceKeyOf(name string) ServiceKey { return ServiceKey(xxhash.Sum64String(name)) }
 
-// lanes is what is known of the demand for one service.
-type lanes struct {
+// serviceStats holds the demand statistics of one service.
+type serviceStats struct {
 	classes profiles
-	// own is this box's demand up to a time, others that of the other boxes.
-	own    Demand
-	since  time.Time
-	others Demand
-	// seen is when requests of each rank last came to this box.
-	seen ranksSeen
-	// speed is how fast this box saw the engines prefill.
+	// local is this box's demand, decayed at decayedAt; peers is that of the other boxes.
+	local     Demand
+	decayedAt time.Time
+	peers     Demand
+	// arrivals records when requests of each rank arrived at this box.
+	arrivals rankArrivals
+	// speed is the prefill speed observed by this box.
 	speed prefillSpeed
 }
 
-// report is this box's own demand, and what it has learned of the engines.
-func (l *lanes) report(now time.Time) Demand {
-	l.decay(now)
-	d := l.own
-	d.Samples = len(l.speed.samples)
-	d.SpeedSum = l.speed.tokensPerSecond() * float64(d.Samples)
+// demand returns this box's own demand and observed prefill speed.
+func (s *serviceStats) demand(now time.Time) Demand {
+	s.decay(now)
+	d := s.local
+	d.Samples = len(s.speed.samples)
+	d.SpeedSum = s.speed.tokensPerSecond() * float64(d.Samples)
 	return d
 }
 
-// note counts tokens that a server is to prefill.
-func (l *lanes) note(interactive bool, tokens int, now time.Time) {
-	l.decay(now)
-	rate := float64(tokens) / demandTime.Seconds()
+// recordPrefill adds tokens that a server is to prefill.
+func (s *serviceStats) recordPrefill(interactive bool, tokens int, now time.Time) {
+	s.decay(now)
+	rate := float64(tokens) / demandDecayTime.Seconds()
 	if interactive {
-		l.own.Interactive += rate
+		s.local.Interactive += rate
 		return
 	}
-	l.own.Bulk += rate
+	s.local.Bulk += rate
 }
 
-func (l *lanes) decay(now time.Time) {
-	if !l.since.IsZero() {
-		f := math.Exp(-now.Sub(l.since).Seconds() / demandTime.Seconds())
-		l.own.Interactive *= f
-		l.own.Bulk *= f
+func (s *serviceStats) decay(now time.Time) {
+	if !s.decayedAt.IsZero() {
+		f := math.Exp(-now.Sub(s.decayedAt).Seconds() / demandDecayTime.Seconds())
+		s.local.Interactive *= f
+		s.local.Bulk *= f
 	}
-	l.since = now
+	s.decayedAt = now
 }
 
-// size is how many of some servers belong to the interactive lane; none if it would be less
-// than half a server.
-func (l *lanes) size(servers int, now time.Time) int {
-	l.decay(now)
-	interactive, bulk := l.own.Interactive+l.others.Interactive, l.own.Bulk+l.others.Bulk
+// laneSize returns how many of the servers belong to the interactive lane; zero if that would be
+// less than half a server.
+func (s *serviceStats) laneSize(servers int, now time.Time) int {
+	s.decay(now)
+	interactive, bulk := s.local.Interactive+s.peers.Interactive, s.local.Bulk+s.peers.Bulk
 	if interactive+bulk == 0 {
 		return 0
 	}
-	share := min(laneHeadroom*interactive/(interactive+bulk), laneMost)
+	share := min(laneHeadroomFactor*interactive/(interactive+bulk), maxLaneShare)
 	return int(math.Round(share * float64(servers)))
 }
 
-// lane is the lane of one request.
+// lane describes the lane of one request.
 type lane struct {
-	// interactive tells that the request is of an interactive class.
+	// interactive is set if the request's class is interactive.
 	interactive bool
-	// size is how many servers the interactive lane has, most the greatest key among them.
-	size int
-	most ServerKey
+	// size is the number of servers in the interactive lane, maxKey the greatest key among them.
+	size   int
+	maxKey ServerKey
 }
 
-// laneOf works out the lane of a request among servers whose keys are given in order. The
-// interactive lane has those with the least keys, so boxes that know the same servers agree on it.
-func (l *lanes) laneOf(q Query, keys []ServerKey, now time.Time) lane {
-	r := lane{interactive: l.classes.interactive(q.Class, now), size: l.size(len(keys), now)}
-	if r.size > 0 {
-		r.most = keys[r.size-1]
+// laneOf returns the lane of a request among servers with the given sorted keys. The interactive
+// lane has those with the lowest keys, so that boxes with the same servers agree on it.
+func (s *serviceStats) laneOf(q Query, keys []ServerKey, now time.Time) lane {
+	l := lane{interactive: s.classes.interactive(q.Class, now), size: s.laneSize(len(keys), now)}
+	if l.size > 0 {
+		l.maxKey = keys[l.size-1]
 	}
-	return r
+	return l
 }
 
-// has tells whether a server belongs to the request's lane.
-func (l lane) has(key ServerKey) bool {
-	return l.size == 0 || l.interactive == (key <= l.most)
+// contains reports whether a server belongs to the request's lane.
+func (l lane) contains(key ServerKey) bool {
+	return l.size == 0 || l.interactive == (key <= l.maxKey)
 }
 
-// servers is how many of some servers belong to the request's lane.
-func (l lane) servers(all int) int {
+// serverCount returns how many of the servers belong to the request's lane.
+func (l lane) serverCount(total int) int {
 	switch {
 	case l.size == 0:
-		return all
+		return total
 	case l.interactive:
 		return l.size
 	}
-	return max(1, all-l.size)
+	return max(1, total-l.size)
 }
 
-// cost is what a server costs for its lane.
+// cost returns the cost of a server for not belonging to the request's lane.
 func (l lane) cost(key ServerKey) float64 {
 	switch {
-	case l.has(key):
+	case l.contains(key):
 		return 0
 	case l.interactive:
-		return interactiveAwayCost
+		return interactiveOffLaneCost
 	}
-	return bulkAwayCost
+	return bulkOffLaneCost
 }
--- a/pkg/balancer/lanes_test.go
+++ b/pkg/balancer/lanes_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// classQuery is a request of a class whose prompt has one part of its own.
+// classQuery is a request of a class whose prompt has no shared part.
 func classQuery(class string, tokens int) Query {
 	return Query{
 		Candidates: servers(20), Hall: "hall-0", Engine: true, Service: "models", Class: class,
@@ -17,9 +17,8 @@
 	}
 }
 
-// Streams of short prompts keep away from servers that read long ones, also before
-// those have begun.
-func TestShortPromptsHaveServersOfTheirOwn(t *testing.T) {
+// Interactive requests and long prompts use disjoint sets of servers.
+func TestInteractiveRequestsUseSeparateServers(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	used := map[string]map[string]bool{"interactive": {}, "long": {}}
@@ -39,11 +38,11 @@
 	}
 	assert.NotEmpty(t, used["interactive"])
 	for id := range used["interactive"] {
-		assert.False(t, used["long"][id], "server %s reads both", id)
+		assert.False(t, used["long"][id], "server %s got both classes", id)
 	}
 }
 
-// With one class alone there is nothing to be cached apart.
+// A single class uses all servers.
 func TestOneClassUsesAllServers(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
@@ -56,24 +55,24 @@
 	assert.Len(t, used, 20)
 }
 
-func TestLaneGrowsWithItsDemand(t *testing.T) {
+func TestLaneSizeFollowsDemand(t *testing.T) {
 	now := time.Now()
-	var l lanes
-	assert.Zero(t, l.size(20, now), "nothing is known")
-	l.note(false, 9000, now)
-	assert.Zero(t, l.size(20, now))
-	l.note(true, 1000, now)
-	assert.Equal(t, int(laneHeadroom*2), l.size(20, now))
-	assert.Zero(t, l.size(2, now), "less than half a server")
-	l.others = Demand{Interactive: 1e6}
-	assert.Equal(t, int(laneMost*20), l.size(20, now))
-	assert.InDelta(t, 0.1, l.own.Interactive/(l.own.Interactive+l.own.Bulk), 0.001)
-	l.others = Demand{}
-	l.decay(now.Add(20 * demandTime))
-	assert.Less(t, l.own.Bulk, 1.0, "demand is forgotten")
+	var stats serviceStats
+	assert.Zero(t, stats.laneSize(20, now), "no demand recorded")
+	stats.recordPrefill(false, 9000, now)
+	assert.Zero(t, stats.laneSize(20, now))
+	stats.recordPrefill(true, 1000, now)
+	assert.Equal(t, int(laneHeadroomFactor*2), stats.laneSize(20, now))
+	assert.Zero(t, stats.laneSize(2, now), "less than half a server")
+	stats.peers = Demand{Interactive: 1e6}
+	assert.Equal(t, int(maxLaneShare*20), stats.laneSize(20, now))
+	assert.InDelta(t, 0.1, stats.local.Interactive/(stats.local.Interactive+stats.local.Bulk), 0.001)
+	stats.peers = Demand{}
+	stats.decay(now.Add(20 * demandDecayTime))
+	assert.Less(t, stats.local.Bulk, 1.0, "demand decays")
 }
 
-// Boxes agree on the lane though their candidates come in another order.
+// The lane does not depend on the order of the candidates.
 func TestBoxesAgreeOnTheLane(t *testing.T) {
 	b, now := New(log.NewNopLogger()), time.Now()
 	list := servers(20)
@@ -85,16 +84,16 @@
 			}
 			choices = append(choices, choice{Server: &list[i], state: b.server(KeyOf(list[i].Life()), now)})
 		}
-		l := lanes{classes: make(profiles), others: Demand{Interactive: 1, Bulk: 9}}
-		r := l.laneOf(Query{Class: "any", PromptTokens: 1000}, keysOf(nil, choices), now)
+		stats := serviceStats{classes: make(profiles), peers: Demand{Interactive: 1, Bulk: 9}}
+		l := stats.laneOf(Query{Class: "any", PromptTokens: 1000}, keysOf(nil, choices), now)
 		ids := make(map[string]bool)
 		for _, c := range choices {
-			if c.state.key <= r.most {
+			if c.state.key <= l.maxKey {
 				ids[c.ID] = true
 			}
 		}
 		return ids
 	}
 	assert.Equal(t, inLane(false), inLane(true))
-	assert.Len(t, inLane(false), int(laneHeadroom*2))
+	assert.Len(t, inLane(false), int(laneHeadroomFactor*2))
 }
--- a/pkg/balancer/lease.go
+++ b/pkg/balancer/lease.go
@@ -8,106 +8,106 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Inputs are what a choice rested on, for the logs.
+// Inputs records, for the logs, what a choice was based on.
 type Inputs struct {
-	// Candidates is how many servers there were to choose from.
+	// Candidates is the number of servers to choose from.
 	Candidates int
-	// Running is how many requests of this box ran at the server, Backlog the tokens that
-	// it had to prefill for them; PeerRunning and PeerBacklog are those of the other
-	// boxes, LoadAge how old their word is, negative if none was heard.
+	// Running is the number of this box's requests at the server, Backlog the tokens it has to
+	// prefill for them. PeerRunning and PeerBacklog are those of the other boxes, LoadAge the age
+	// of their reports, negative if none were received.
 	Running     int
 	Backlog     int
 	PeerRunning int
 	PeerBacklog int
 	LoadAge     time.Duration
-	// Prefix names the longest part of the prompt that others may share, and Home
-	// tells whether the server is the one where all boxes send it.
+	// Prefix is the ID of the last shared part of the prompt. Home is set if the server is the
+	// prefix's home.
 	Prefix string
 	Home   bool
-	// CachedTokens is what the server is believed to have cached of the prompt, in tokens,
-	// Transferred what it can take from another server, Prefill what is left.
+	// CachedTokens is how much of the prompt the server is assumed to have cached,
+	// TransferredTokens what it can transfer from another server, PrefillTokens what remains.
 	CachedTokens      int
 	TransferredTokens int
 	PrefillTokens     int
-	// Interactive tells that the class counts as interactive, Lane how many servers are
-	// set apart for those.
+	// Interactive is set if the class counts as interactive. LaneSize is the number of servers in
+	// the interactive lane.
 	Interactive bool
 	LaneSize    int
-	// FailureRatio is the share of recent calls that failed.
+	// FailureRatio is the ratio of recent calls to the server that failed.
 	FailureRatio float64
 }
 
 // Lease is one call in progress at a server.
 type Lease struct {
 	Server routing.Server
-	// Source is the address of a server from which the chosen one can take what it
-	// lacks of the prompt, "" for none.
+	// Source is the address of a server from which the chosen one can transfer a missing part of
+	// the prompt, "" for none.
 	Source string
 	Inputs Inputs
 
-	balancer *Balancer
-	state    *server
-	prefix   prefix
-	backlog  int
-	memory   int
-	// service and class are set for engines.
+	balancer     *Balancer
+	state        *server
+	prefix       prefix
+	backlog      int
+	memoryTokens int
+	// service and class are set for engines only.
 	service string
 	class   string
 	rank    int
-	// taken is when the server was chosen, begun when the first event came. An alone call
-	// found a server with nothing else to prefill.
-	taken time.Time
-	begun time.Time
-	alone bool
-	// probe says that the call probes a half-open server.
+	// pickedAt is when the server was chosen, prefilledAt when the first event arrived.
+	// solePrefill is set if the server had nothing else to prefill.
+	pickedAt    time.Time
+	prefilledAt time.Time
+	solePrefill bool
+	// probe is set if the call probes a half-open server.
 	probe bool
 	done  bool
 }
 
-// occupy counts what the call takes of an engine.
-func (l *Lease) occupy(q Query, c *choice, p *placing, now time.Time) {
+// reserve counts the engine capacity that the call uses.
+func (l *Lease) reserve(q Query, c *choice, costs *costContext, now time.Time) {
 	s, b := l.state, l.balancer
 	l.service, l.class, l.rank = q.Service, q.Class, q.Rank
-	l.memory = q.PromptTokens + q.MaxOutputTokens
-	l.backlog = c.toPrefill(q)
-	l.taken, l.alone = now, c.load.Backlog == 0 && c.transferred == 0
-	s.memory += l.memory
+	l.memoryTokens = q.PromptTokens + q.MaxOutputTokens
+	l.backlog = c.prefillTokens(q)
+	l.pickedAt, l.solePrefill = now, c.load.Backlog == 0 && c.transferredTokens == 0
+	s.memoryTokens += l.memoryTokens
 	s.backlog += l.backlog
-	lanes := b.lanesOf(q.Service)
-	lanes.own.PendingPrefill.add(l.rank, l.backlog)
-	lanes.note(p.lane.interactive, l.backlog, now)
-	lanes.classes.add(q.Class, l.backlog, q.MaxEventInterval, now)
-	b.publishLoad(s)
-	b.publishPlacement(s, l.prefix, false, now)
+	stats := b.statsOf(q.Service)
+	stats.local.PendingPrefill.add(l.rank, l.backlog)
+	stats.recordPrefill(costs.lane.interactive, l.backlog, now)
+	stats.classes.recordStart(q.Class, l.backlog, q.MaxEventInterval, now)
+	b.notifyLoadChange(s)
+	b.queuePlacement(s, l.prefix, false, now)
 }
 
-// PrefillDone says that the server has prefilled the prompt.
+// PrefillDone records that the server has prefilled the prompt. Only the first call has an effect.
 func (l *Lease) PrefillDone(now time.Time) {
 	b := l.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !l.begun.IsZero() || l.done {
+	if !l.prefilledAt.IsZero() || l.done {
 		return
 	}
-	l.begun = now
-	if l.alone && l.class != "" {
-		b.lanesOf(l.service).speed.add(l.backlog, now.Sub(l.taken))
+	l.prefilledAt = now
+	if l.solePrefill && l.class != "" {
+		b.statsOf(l.service).speed.add(l.backlog, now.Sub(l.pickedAt))
 	}
-	l.settle()
-	b.publishPlacement(l.state, l.prefix, true, now)
+	l.releaseBacklog()
+	b.queuePlacement(l.state, l.prefix, true, now)
 }
 
-// settle counts the prompt as prefilled, or as given up.
-func (l *Lease) settle() {
+// releaseBacklog removes the prompt from the backlog once it is prefilled or the call has ended.
+func (l *Lease) releaseBacklog() {
 	l.state.backlog -= l.backlog
 	if l.service != "" {
-		l.balancer.lanesOf(l.service).own.PendingPrefill.add(l.rank, -l.backlog)
+		l.balancer.statsOf(l.service).local.PendingPrefill.add(l.rank, -l.backlog)
 	}
 	l.backlog = 0
-	l.balancer.publishLoad(l.state)
+	l.balancer.notifyLoadChange(l.state)
 }
 
-// Done ends the call.
+// Done ends the call. Only the first call has an effect.
 func (l *Lease) Done(r Result, now time.Time) {
 	b := l.balancer
 	b.mu.Lock()
@@ -118,20 +118,20 @@
 	l.done = true
 	s := l.state
 	s.running--
-	s.memory -= l.memory
+	s.memoryTokens -= l.memoryTokens
 	if l.probe {
-		s.probing = false
+		s.probeInFlight = false
 	}
-	l.settle()
-	if l.class != "" && r == ResultDone && !l.begun.IsZero() {
-		b.lanesOf(l.service).classes.ended(l.class, now.Sub(l.begun), now)
+	l.releaseBacklog()
+	if l.class != "" && r == ResultDone && !l.prefilledAt.IsZero() {
+		b.statsOf(l.service).classes.recordStreamEnd(l.class, now.Sub(l.prefilledAt), now)
 	}
-	ejected := s.health.note(r, now)
+	ejected := s.health.record(r, now)
 	if ejected > 0 && s.health.unreachable || r == ResultFailed {
-		b.changed()
+		b.notifyChange()
 	}
 	if ejected > 0 {
 		_ = level.Info(b.logger).Log("msg", "server ejected", "server", l.Server.ID, "address", l.Server.Address,
-			"result", r, "in_a_row", s.health.inARow, "failures", s.health.failures, "for", ejected)
+			"result", r, "in_a_row", s.health.consecutiveFailures, "failures", s.health.failures, "for", ejected)
 	}
 }
--- a/pkg/balancer/limits.go
+++ b/pkg/balancer/limits.go
@@ -8,18 +8,18 @@
 	"headhill.example/headhill/pkg/signals"
 )
 
-// returnMargin is how long after a server was seen to be down its return is awaited beyond the time
-// for which servers warm up: it is down for a while after it was last seen to be.
-const returnMargin = time.Second
+// warmUpMargin extends the warm-up time of a server that was seen down, because it stays down for
+// a while after it was last observed.
+const warmUpMargin = time.Second
 
-// limitOf is the rate limit of a server that all boxes keep together, by the stricter of what it bears while
-// it warms up and what it signals.
-func (b *Balancer) limitOf(q *Query, c *routing.Server, s *server, state signals.State, others Load, now time.Time) fleetlimit.Limit {
+// rateLimit returns the fleet-wide rate limit of a server: the stricter of its warm-up limit and
+// the one that it signals.
+func (b *Balancer) rateLimit(q *Query, c *routing.Server, s *server, state signals.State, peers Load, now time.Time) fleetlimit.Limit {
 	limit := fleetlimit.Limit{}
 	if b.limiter == nil {
 		return limit
 	}
-	if b.warmingUp(q, c, s, others, now) {
+	if b.warmingUp(q, c, s, peers, now) {
 		limit = fleetlimit.WarmUp(q.WarmUp)
 	}
 	if state.Limit.Set {
@@ -28,37 +28,37 @@
 	return limit
 }
 
-// limitNow looks up what limitOf rests on.
-func (b *Balancer) limitNow(q *Query, c *routing.Server, now time.Time) fleetlimit.Limit {
-	s := b.known(KeyOf(c.Life()))
-	return b.limitOf(q, c, s, b.signals.Of(s.key, now), b.other(s.key, now), now)
+// currentRateLimit returns the rate limit of a server from its current state.
+func (b *Balancer) currentRateLimit(q *Query, c *routing.Server, now time.Time) fleetlimit.Limit {
+	s := b.lookup(KeyOf(c.Life()))
+	return b.rateLimit(q, c, s, b.signals.Of(s.key, now), b.peerLoad(s.key, now), now)
 }
 
-// known is what is known of a server, without remembering one that is new.
-func (b *Balancer) known(key ServerKey) *server {
+// lookup returns the state of a server without adding a new one.
+func (b *Balancer) lookup(key ServerKey) *server {
 	if s, ok := b.servers[key]; ok {
 		return s
 	}
 	return &server{key: key}
 }
 
-// warmingUp tells whether a server is taken to warm up: by its own word, or as it was down a short
-// while ago while nobody hears of starts.
-func (b *Balancer) warmingUp(q *Query, c *routing.Server, s *server, others Load, now time.Time) bool {
+// warmingUp reports whether a server is warming up: according to its start time or, while starts
+// may go unnoticed, because it was down recently.
+func (b *Balancer) warmingUp(q *Query, c *routing.Server, s *server, peers Load, now time.Time) bool {
 	if !q.WarmUp.Limited() {
 		return false
 	}
-	if seenDown(s, others, now) {
-		s.down = now
+	if confirmedDown(s, peers, now) {
+		s.lastSeenDown = now
 	}
-	if q.ListStale && !s.down.IsZero() && now.Sub(s.down) < q.WarmUp.Time+returnMargin {
+	if q.ListStale && !s.lastSeenDown.IsZero() && now.Sub(s.lastSeenDown) < q.WarmUp.Time+warmUpMargin {
 		return true
 	}
 	return q.WarmUpEnd != nil && now.Before(q.WarmUpEnd(c))
 }
 
-// seenDown tells whether boxes agree that a server is down. The word of one box may be due to a cut
-// of its own.
-func seenDown(s *server, others Load, now time.Time) bool {
-	return others.DownReports >= downLeast || others.DownReports > 0 && s.health.down(now)
+// confirmedDown reports whether more than one box sees the server down. A single box may itself be
+// cut off.
+func confirmedDown(s *server, peers Load, now time.Time) bool {
+	return peers.DownReports >= minDownReports || peers.DownReports > 0 && s.health.down(now)
 }
--- a/pkg/balancer/limits_test.go
+++ b/pkg/balancer/limits_test.go
@@ -14,7 +14,8 @@
 	"headhill.example/headhill/pkg/signals"
 )
 
-// limitedFleet is the balancer of the only box of a fleet, and two servers of which the first is limited.
+// limitedFleet returns the balancer of the only box of a fleet, and a query with two servers of
+// which the first is rate-limited.
 func limitedFleet(now time.Time) (*Balancer, Query) {
 	b := New(log.NewNopLogger())
 	l := fleetlimit.New("box-1", log.NewNopLogger())
@@ -22,12 +23,13 @@
 	b.SetLimiter(l)
 	q := Query{Service: "calls", Candidates: []routing.Server{{ID: "i-1"}, {ID: "i-2"}}}
 	b.Signals().Observe(q.Candidates[0].Life(), signals.Signals{Limit: signals.Limit{Set: true, PerSecond: 1}}, now, now)
-	// The limit begins to hold with the first choice, and a request is saved up meanwhile.
+	// The limit applies from the first choice on; the time since then accumulates capacity for one
+	// request.
 	b.Pick(q, now.Add(-5*time.Second))
 	return b, q
 }
 
-func pickedOf(b *Balancer, q Query, calls int, now time.Time) map[string]int {
+func pickCounts(b *Balancer, q Query, calls int, now time.Time) map[string]int {
 	picked := make(map[string]int)
 	for range calls {
 		if l, ok := b.Pick(q, now); ok {
@@ -38,30 +40,30 @@
 	return picked
 }
 
-func TestLimitedServerGetsItsPartAndTheOthersTheRest(t *testing.T) {
+func TestLimitedServerGetsItsRateAndOthersTheRest(t *testing.T) {
 	now := time.Now()
 	b, q := limitedFleet(now)
-	assert.Equal(t, map[string]int{"i-1": 1, "i-2": 99}, pickedOf(b, q, 100, now))
+	assert.Equal(t, map[string]int{"i-1": 1, "i-2": 99}, pickCounts(b, q, 100, now))
 	a := b.Availability(q, now)
 	assert.WithinDuration(t, now.Add(time.Duration(float64(time.Second)/a.PerSecond)), a.NextToken, time.Millisecond)
 	assert.Equal(t, Availability{Limited: 1, PerSecond: fleetlimit.Signalled(1).PerSecond, NextToken: a.NextToken, Available: 1}, a)
 	assert.Equal(t, q.Candidates[1:], b.Unconstrained(q.Candidates, now))
 }
 
-func TestLimitedServerIsNotUsedBeyondItsPartThoughNoOtherIsLeft(t *testing.T) {
+func TestRateLimitHoldsWithoutAlternativeServers(t *testing.T) {
 	now := time.Now()
 	b, q := limitedFleet(now)
 	q.Candidates = q.Candidates[:1]
-	assert.Equal(t, map[string]int{"i-1": 1}, pickedOf(b, q, 100, now))
-	assert.Equal(t, q.Candidates, b.Unconstrained(q.Candidates, now), "a service whose servers are all limited has them still")
+	assert.Equal(t, map[string]int{"i-1": 1}, pickCounts(b, q, 100, now))
+	assert.Equal(t, q.Candidates, b.Unconstrained(q.Candidates, now), "limited servers are returned if there are no others")
 	q.SkipLimited = true
-	assert.Empty(t, pickedOf(b, q, 100, now.Add(10*time.Second)), "others wait for it")
+	assert.Empty(t, pickCounts(b, q, 100, now.Add(10*time.Second)), "other requests wait for the capacity")
 	q.SkipLimited = false
-	assert.Equal(t, map[string]int{"i-1": 1}, pickedOf(b, q, 100, now.Add(10*time.Second)))
+	assert.Equal(t, map[string]int{"i-1": 1}, pickCounts(b, q, 100, now.Add(10*time.Second)))
 }
 
-// A prefix can be taken from a server that leaves as long as it is there.
-func TestServerThatSignalsThatItLeavesIsOnlyASourceOfPrefixes(t *testing.T) {
+// A prefix can be transferred from a server that is leaving.
+func TestLeavingServerIsOnlyAPrefixSource(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{
@@ -79,7 +81,7 @@
 	assert.Equal(t, first.Server.Address, second.Source)
 	q.Exclude = []routing.Life{second.Server.Life()}
 	_, ok = b.Pick(q, now)
-	assert.False(t, ok, "nothing is left")
+	assert.False(t, ok, "no candidate remains")
 	assert.Len(t, b.Unconstrained(q.Candidates, now), 1)
 }
 
@@ -90,18 +92,18 @@
 	life := q.Candidates[0].Life()
 	b.Signals().Observe(life, signals.Signals{RetryAfter: time.Second}, now, now)
 	_, ok := b.Pick(q, now.Add(time.Second/2))
-	assert.False(t, ok, "though no other is left")
+	assert.False(t, ok, "not even without alternatives")
 	assert.Equal(t, 1, b.Availability(q, now).BackingOff)
 
 	now = now.Add(2 * time.Second)
 	probe, ok := b.Pick(q, now)
 	require.True(t, ok)
 	_, ok = b.Pick(q, now)
-	assert.False(t, ok, "the first one finds out")
+	assert.False(t, ok, "only one probe at a time")
 	probe.Done(ResultUnreached, now)
-	now = now.Add(ejectMost)
+	now = now.Add(maxEjection)
 	probe, ok = b.Pick(q, now)
-	require.True(t, ok, "another one does where it did not")
+	require.True(t, ok, "a new probe follows a failed one")
 	b.Signals().Observe(life, signals.Signals{}, now, now)
 	_, ok = b.Pick(q, now)
 	assert.True(t, ok)
@@ -110,19 +112,20 @@
 	assert.True(t, ok)
 }
 
-// Of a long list a choice looks at some servers only, and all of these may be unavailable.
-func TestAvailableServersOfALongListCount(t *testing.T) {
+// Availability counts all candidates of a long list, although a choice evaluates only some of
+// them.
+func TestAvailabilityCountsWholeLongList(t *testing.T) {
 	now := time.Now()
 	b, _ := limitedFleet(now)
 	q := Query{Service: "calls"}
-	for i := range 2 * lookAtAll {
+	for i := range 2 * maxFullScan {
 		q.Candidates = append(q.Candidates, routing.Server{ID: fmt.Sprintf("i-%d", i)})
 	}
-	for i := range lookAtAll {
+	for i := range maxFullScan {
 		b.Signals().Observe(q.Candidates[i].Life(), signals.Signals{Leaving: i%2 == 0, RetryAfter: time.Minute}, now, now)
 	}
 	a := b.Availability(q, now)
-	assert.Equal(t, lookAtAll, a.Available)
-	assert.Equal(t, lookAtAll/2, a.BackingOff)
-	assert.Len(t, b.Unconstrained(q.Candidates, now), lookAtAll)
+	assert.Equal(t, maxFullScan, a.Available)
+	assert.Equal(t, maxFullScan/2, a.BackingOff)
+	assert.Len(t, b.Unconstrained(q.Candidates, now), maxFullScan)
 }
--- a/pkg/balancer/pooled_test.go
+++ b/pkg/balancer/pooled_test.go
@@ -10,10 +10,10 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// told is what a box is told of the only server that fails, from the reports of others.
-func told(others []*Balancer, now time.Time) map[ServerKey]Load {
+// sumReports adds up the loads in the reports of some boxes.
+func sumReports(peers []*Balancer, now time.Time) map[ServerKey]Load {
 	total := make(map[ServerKey]Load)
-	for _, b := range others {
+	for _, b := range peers {
 		for key, l := range b.Report(now).Loads {
 			total[key] = total[key].Plus(l)
 		}
@@ -21,14 +21,14 @@
 	return total
 }
 
-// callOn makes one call to a server, which ends in some way.
-func callOn(b *Balancer, id int, r Result, now time.Time) {
+// makeCall makes one call to a server, with the given result.
+func makeCall(b *Balancer, id int, r Result, now time.Time) {
 	l, _ := b.Pick(Query{Candidates: servers(id + 1)[id:]}, now)
 	l.Done(r, now)
 }
 
-// share is how often a box that saw nothing itself chooses the first of two servers.
-func share(b *Balancer, now time.Time) float64 {
+// firstServerShare returns how often a box chooses the first of two servers.
+func firstServerShare(b *Balancer, now time.Time) float64 {
 	const picks = 400
 	count := 0
 	for range picks {
@@ -41,44 +41,43 @@
 	return float64(count) / picks
 }
 
-// Of a server each of many boxes sees only a few calls. What they see together is known to
-// each.
+// Each of many boxes sees only a few calls to a server; their failures add up.
 func TestFailuresOfManyBoxesAreKnownToAll(t *testing.T) {
 	now := time.Now()
-	var others []*Balancer
+	var peers []*Balancer
 	for range 12 {
 		b := New(log.NewNopLogger())
-		callOn(b, 0, ResultFailed, now)
-		others = append(others, b)
+		makeCall(b, 0, ResultFailed, now)
+		peers = append(peers, b)
 	}
 	b := New(log.NewNopLogger())
-	assert.InDelta(t, 0.5, share(b, now), 0.2, "it knows nothing")
-	b.SetPeerLoads(told(others, now), nil, now)
-	assert.Zero(t, share(b, now))
+	assert.InDelta(t, 0.5, firstServerShare(b, now), 0.2, "no reports received")
+	b.SetPeerLoads(sumReports(peers, now), nil, now)
+	assert.Zero(t, firstServerShare(b, now))
 	later := now.Add(5 * failureHalfLife)
-	b.SetPeerLoads(told(others, later), nil, later)
-	assert.InDelta(t, 0.5, share(b, later), 0.2, "old failures are forgotten")
-	callOn(b, 0, ResultDone, now)
-	b.SetPeerLoads(told(others, now), nil, now)
+	b.SetPeerLoads(sumReports(peers, later), nil, later)
+	assert.InDelta(t, 0.5, firstServerShare(b, later), 0.2, "old failures decay")
+	makeCall(b, 0, ResultDone, now)
+	b.SetPeerLoads(sumReports(peers, now), nil, now)
 	l, _ := b.Pick(Query{Candidates: servers(1)}, now)
 	assert.Greater(t, l.Inputs.FailureRatio, 0.5)
 	l.Done(ResultDone, now)
 }
 
-// One box's bad luck, or a path that is cut for it, ejects nothing for the others.
+// Failures seen by a single box, or its broken network path, eject no server for the others.
 func TestOneBoxEjectsNothingForOthers(t *testing.T) {
 	now := time.Now()
-	for name, r := range map[string]Result{"it fails for one box": ResultFailed, "one box can't reach it": ResultUnreached} {
+	for name, r := range map[string]Result{"fails for one box": ResultFailed, "unreachable for one box": ResultUnreached} {
 		t.Run(name, func(t *testing.T) {
-			unlucky := New(log.NewNopLogger())
+			failing := New(log.NewNopLogger())
 			for range 40 {
-				callOn(unlucky, 0, r, now)
+				makeCall(failing, 0, r, now)
 			}
 			b := New(log.NewNopLogger())
-			b.SetPeerLoads(told([]*Balancer{unlucky}, now), nil, now)
+			b.SetPeerLoads(sumReports([]*Balancer{failing}, now), nil, now)
 			l, _ := b.Pick(Query{Candidates: servers(1)}, now)
 			l.Done(ResultAbandoned, now)
-			assert.False(t, (&choice{state: l.state, failures: l.Inputs.FailureRatio}).ejectedByOthers(b.others[KeyOf(routing.Life{ID: "i-0"})], now))
+			assert.False(t, (&choice{state: l.state, failureRatio: l.Inputs.FailureRatio}).ejectedByPeers(b.peerLoads[KeyOf(routing.Life{ID: "i-0"})], now))
 			if r == ResultUnreached {
 				assert.Zero(t, l.Inputs.FailureRatio)
 			}
@@ -86,21 +85,21 @@
 	}
 }
 
-// Calls that went well count where any box has told of failures, also those of boxes that
-// saw none.
+// Once a box has reported failures, the successful calls of all boxes count, including boxes
+// without failures.
 func TestCallsThatWentWellCount(t *testing.T) {
 	now := time.Now()
-	unlucky, lucky, b := New(log.NewNopLogger()), New(log.NewNopLogger()), New(log.NewNopLogger())
+	failing, healthy, b := New(log.NewNopLogger()), New(log.NewNopLogger()), New(log.NewNopLogger())
 	for range 3 {
-		callOn(unlucky, 0, ResultFailed, now)
+		makeCall(failing, 0, ResultFailed, now)
 	}
 	for range 60 {
-		callOn(lucky, 0, ResultDone, now)
+		makeCall(healthy, 0, ResultDone, now)
 	}
-	assert.Empty(t, lucky.Report(now).Loads, "without failures there is nothing to tell")
-	lucky.SetPeerLoads(told([]*Balancer{unlucky}, now), nil, now)
-	b.SetPeerLoads(told([]*Balancer{unlucky, lucky}, now), nil, now)
+	assert.Empty(t, healthy.Report(now).Loads, "nothing to report without failures")
+	healthy.SetPeerLoads(sumReports([]*Balancer{failing}, now), nil, now)
+	b.SetPeerLoads(sumReports([]*Balancer{failing, healthy}, now), nil, now)
 	l, _ := b.Pick(Query{Candidates: servers(1)}, now)
-	assert.InDelta(t, 3.0/(63+priorCalls), l.Inputs.FailureRatio, 0.01)
+	assert.InDelta(t, 3.0/(63+priorSuccesses), l.Inputs.FailureRatio, 0.01)
 	l.Done(ResultDone, now)
 }
--- a/pkg/balancer/query.go
+++ b/pkg/balancer/query.go
@@ -12,56 +12,57 @@
 	Tokens int
 }
 
-// Query says what a server is wanted for.
+// Query describes a request that needs a server.
 type Query struct {
 	Candidates []routing.Server
-	// Draining servers get no new work, but what they have cached can still be taken from them: they
-	// leave, or their hall is evacuated.
+	// Draining lists servers that get no new requests but whose cached prefixes can still be
+	// transferred: they are leaving, or their hall is evacuated.
 	Draining []routing.Server
-	// WarmUp is what a candidate bears while it warms up, Warm tells when it has done so; nil for
-	// candidates that all have.
+	// WarmUp is the limit of a candidate while it warms up. WarmUpEnd returns when its warm-up
+	// ends; nil if all candidates are warm.
 	WarmUp    routing.WarmUp
 	WarmUpEnd func(*routing.Server) time.Time
-	// ListStale says that the list of servers has not been confirmed for so long that starts of
-	// servers may be unknown.
+	// ListStale is set if the list of servers has been unconfirmed for so long that server starts
+	// may have been missed.
 	ListStale bool
-	// Hall is where the box stands.
+	// Hall is the hall of this box.
 	Hall string
-	// Parts are those of the prompt, in order. The last one is the request's own.
+	// Parts are the parts of the prompt, in order. The last one is unique to the request.
 	Parts []Part
-	// MaxOutputTokens is the most tokens that may be generated, Memory how many tokens the memory of
-	// one engine holds, zero if that is not known.
+	// MaxOutputTokens bounds the tokens that may be generated. EngineMemoryTokens is the memory of
+	// one engine, zero if unknown.
 	MaxOutputTokens    int
 	EngineMemoryTokens int
-	// PromptTokens is the length of the prompt, Bytes that of the request's body.
+	// PromptTokens is the length of the prompt, BodyBytes that of the request's body.
 	PromptTokens int
 	BodyBytes    int
-	// Exclude lists servers that were tried before.
+	// Exclude lists servers that have been tried before.
 	Exclude []routing.Life
-	// Rank is the urgency, 0 to routing.RankMost.
+	// Rank is the urgency, from 0 (most urgent) to routing.RankMost.
 	Rank int
-	// MaxOccupancy is the share of an engine's places that may be taken for the request to go there, as
-	// long as there is such an engine; zero for no bound.
+	// MaxOccupancy is the ratio of occupied slots below which an engine is preferred for the
+	// request; zero for no limit. It is ignored if no engine is below it.
 	MaxOccupancy float64
 	// Engine marks model engines.
 	Engine bool
-	// Service and Class name what the request is for; requests of a class are alike.
+	// Service is the requested service. Class groups requests of similar shape.
 	Service string
 	Class   string
-	// MaxEventInterval is the longest pause that the request's stream may have between events.
+	// MaxEventInterval is the longest permitted interval between events of the request's stream.
 	MaxEventInterval time.Duration
-	// SkipLimited leaves the rate of limited servers to other requests, which wait for it.
+	// SkipLimited leaves the capacity of rate-limited servers to other requests, which wait for
+	// it.
 	SkipLimited bool
-	// Repeatable requests survive a failure of their server.
+	// Repeatable is set if the request may be run again after a failure.
 	Repeatable bool
 }
 
-// shared are the parts that other requests may have in common with this one.
-func (q *Query) shared() []Part { return q.Parts[:max(0, len(q.Parts)-1)] }
+// sharedParts returns the parts that other requests may have in common with this one.
+func (q *Query) sharedParts() []Part { return q.Parts[:max(0, len(q.Parts)-1)] }
 
-// prefix names the longest shared part, "" if there is none.
-func (q *Query) prefix() string {
-	shared := q.shared()
+// prefixID returns the ID of the last shared part, "" if there is none.
+func (q *Query) prefixID() string {
+	shared := q.sharedParts()
 	if len(shared) == 0 {
 		return ""
 	}
--- a/pkg/balancer/share.go
+++ b/pkg/balancer/share.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// reportStep is the change of a server's prefill backlog, in tokens, that is
-	// reported to other boxes.
-	reportStep = 500
-	// reportRequests is the change of its running requests.
-	reportRequests = 2
-	// othersFor is how long the other boxes' word is believed.
-	othersFor = 3 * time.Second
-	// placementLeast is the length of a shared prefix, in tokens, that is
-	// published to other boxes: shorter ones are prefilled anew at less than the publishing
-	// costs.
-	placementLeast = 1000
-	// placementsMost bounds the placements that wait to be published.
-	placementsMost = 256
-	// downLeast is how many other boxes must call a server down to be believed, and
-	// ownWord how long this box's own success there counts for more.
-	downLeast = 2
-	ownWord   = 2 * time.Second
+	// minBacklogChangeTokens is the change of a server's backlog that triggers a report to other
+	// boxes.
+	minBacklogChangeTokens = 500
+	// minRunningChange is the change of a server's running requests that triggers a report.
+	minRunningChange = 2
+	// peerLoadTTL is how long the loads reported by other boxes are valid.
+	peerLoadTTL = 3 * time.Second
+	// minPlacementTokens is the length of a shared prefix from which it is published to other
+	// boxes: prefilling shorter ones again is cheaper than publishing them.
+	minPlacementTokens = 1000
+	// maxPendingPlacements bounds the placements not yet reported.
+	maxPendingPlacements = 256
+	// minDownReports is the number of other boxes that must report a server down for it to be
+	// ejected; ownSuccessTTL is how long a success of this box overrides them.
+	minDownReports = 2
+	ownSuccessTTL  = 2 * time.Second
 )
 
 const (
-	// countScale is how many parts of a call the decayed counts of calls are told in.
+	// countScale is the resolution of reported call counts: they are in units of 1/countScale
+	// call.
 	countScale = 8
-	// failingLeast is how many other boxes must have seen a server fail, and ejectShare how
-	// much of all calls there must have failed, for it to get nothing from this box either.
-	failingLeast = 3
-	ejectShare   = 0.5
+	// minFailureReports is the number of other boxes that must have seen a server fail, and
+	// peerEjectRatio the failure ratio of all calls, for this box to eject it too.
+	minFailureReports = 3
+	peerEjectRatio    = 0.5
 )
 
-// ServerKey is a server's life as boxes name it to each other, in short. Two servers may
-// share one: then each counts what the other has to do.
+// ServerKey is a hash of a server's life, used in messages between boxes. If two servers collide,
+// each is also charged with the load of the other.
 type ServerKey = signals.Key
 
-// KeyOf is the key of a server's life. All that is known of a server hangs on it, so that one that
-// is back under its ID begins with nothing cached, no load and no failures.
+// KeyOf returns the key of a server's life. All state of a server is stored under it, so that a
+// server restarted under the same ID starts with nothing cached, no load and no failures.
 func KeyOf(l routing.Life) ServerKey { return signals.KeyOf(l) }
 
-// partKey is the ID of a part of a prompt, in short.
+// partKey is a hash of the ID of a prompt part.
 type partKey = uint64
 
-// Load is what boxes have one server do.
+// Load is the load of one server from one or more boxes.
 type Load struct {
-	// Backlog is the length of the prompts that it has not prefilled yet, in tokens.
+	// Backlog is the number of prompt tokens not yet prefilled.
 	Backlog int
-	// Running is how many requests it has.
+	// Running is the number of requests in flight.
 	Running int
-	// MemoryTokens is how many tokens the running requests may take at the most, their prompts'
-	// included.
+	// MemoryTokens is the maximum number of tokens that the running requests may occupy, including
+	// their prompts.
 	MemoryTokens int
-	// DownReports is how many boxes can't reach it.
+	// DownReports is the number of boxes that can't reach the server.
 	DownReports int
-	// FailureReports is how many boxes have seen it fail. Failed and Calls count the recent calls
-	// that failed, and all of them, in parts of a call; older ones count less.
+	// FailureReports is the number of boxes that have seen the server fail. ScaledFailures and
+	// ScaledCalls are the decayed counts of failed and of all calls, multiplied by countScale.
 	FailureReports int
 	ScaledFailures int
 	ScaledCalls    int
 }
 
-// Plus is the load of both.
+// Plus returns the sum of l and o.
 func (l Load) Plus(o Load) Load {
 	return Load{
 		Backlog: l.Backlog + o.Backlog, Running: l.Running + o.Running, MemoryTokens: l.MemoryTokens + o.MemoryTokens, DownReports: l.DownReports + o.DownReports,
@@ -75,8 +75,7 @@
 	}
 }
 
-// Minus is the load without a part of it. The part may be newer than the whole, so that
-// nothing falls below zero.
+// Minus returns l without o. Nothing goes below zero, as o may be more recent than l.
 func (l Load) Minus(o Load) Load {
 	return Load{
 		Backlog: max(0, l.Backlog-o.Backlog), Running: max(0, l.Running-o.Running),
@@ -85,119 +84,119 @@
 	}
 }
 
-// Placement says that a server has cached the parts of a prompt's prefix, or is about to
-// prefill them.
+// Placement states that a server has cached the parts of a prompt's prefix, or is about to prefill
+// them.
 type Placement struct {
 	Server    ServerKey
 	Parts     []uint64
 	Prefilled bool
 }
 
-// Report is what this box reports to the others.
+// Report is what this box reports to the other boxes.
 type Report struct {
-	// Loads holds each server that this box has something to say of.
+	// Loads holds the servers with a load or failures to report.
 	Loads map[ServerKey]Load
 	// Placements are those since the last report.
 	Placements []Placement
 	// Demands are by service.
 	Demands map[ServiceKey]Demand
-	// Signals are what this box has observed in servers' answers.
+	// Signals are the signals observed in servers' responses.
 	Signals signals.Observations
 }
 
-// OnChange sets who learns that there is something to report. It must not block, nor
+// OnChange sets the function called when there is something to report. It must neither block nor
 // call the balancer.
 func (b *Balancer) OnChange(f func()) { b.onChange = f }
 
-// Report returns what the others should know. Placements are returned once.
+// Report returns the state to report to other boxes. Each placement is returned once.
 func (b *Balancer) Report(now time.Time) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := Report{Loads: make(map[ServerKey]Load), Placements: b.placements, Demands: make(map[ServiceKey]Demand), Signals: b.signals.Report(now)}
-	for key, l := range b.lanes {
-		if d := l.report(now); d != (Demand{}) {
+	for key, stats := range b.services {
+		if d := stats.demand(now); d != (Demand{}) {
 			r.Demands[key] = d
 		}
 	}
 	b.placements = nil
 	for _, s := range b.servers {
-		l := s.load()
+		load := s.load()
 		if s.health.down(now) {
-			l.DownReports = 1
+			load.DownReports = 1
 		}
-		s.health.report(&l, b.other(s.key, now).FailureReports > 0, now)
-		s.reported = l
-		if l != (Load{}) {
-			r.Loads[s.key] = l
+		s.health.addTo(&load, b.peerLoad(s.key, now).FailureReports > 0, now)
+		s.reported = load
+		if load != (Load{}) {
+			r.Loads[s.key] = load
 		}
 	}
 	return r
 }
 
-// SetPeerLoads takes in what all other boxes together have the servers do.
+// SetPeerLoads replaces the total load and demand of all other boxes.
 func (b *Balancer) SetPeerLoads(loads map[ServerKey]Load, demands map[ServiceKey]Demand, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others, b.othersHeard = loads, now
-	for key, d := range demands {
-		// Also of a service that this box has had no request for: its first one is to be
-		// admitted by what the others know.
-		b.lanesBy(key).others = d
+	b.peerLoads, b.peerLoadsAt = loads, now
+	for key, demand := range demands {
+		// Services without a request at this box are included, so that the first one is admitted
+		// by what the other boxes know.
+		b.statsByKey(key).peers = demand
 	}
 }
 
-// RecordPlacements takes in where other boxes have sent prompts.
+// RecordPlacements records where other boxes have sent prompts.
 func (b *Balancer) RecordPlacements(list []Placement, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range list {
 		s := b.server(p.Server, now)
-		s.cached.note(p.Parts, p.Prefilled, now)
-		b.noteHolder(s, p.Parts)
+		s.cached.record(p.Parts, p.Prefilled, now)
+		b.recordHolder(s, p.Parts)
 		s.cached.markPublished(p.Parts, now)
 	}
 }
 
-// othersKnown tells whether the other boxes' word is still believed.
-func (b *Balancer) othersKnown(now time.Time) bool { return now.Sub(b.othersHeard) <= othersFor }
+// peerLoadsFresh reports whether the other boxes' loads are still valid.
+func (b *Balancer) peerLoadsFresh(now time.Time) bool { return now.Sub(b.peerLoadsAt) <= peerLoadTTL }
 
-// other is what the other boxes have a server do.
-func (b *Balancer) other(key ServerKey, now time.Time) Load {
-	if !b.othersKnown(now) {
+// peerLoad returns the load of a server from the other boxes, zero if their reports have expired.
+func (b *Balancer) peerLoad(key ServerKey, now time.Time) Load {
+	if !b.peerLoadsFresh(now) {
 		return Load{}
 	}
-	return b.others[key]
+	return b.peerLoads[key]
 }
 
-// publishLoad passes on a change of a server's load that is large enough, and each return
-// to nothing.
-func (b *Balancer) publishLoad(s *server) {
+// notifyLoadChange triggers a report if a server's load changed enough, or if its backlog became
+// empty.
+func (b *Balancer) notifyLoadChange(s *server) {
 	tokens := max(s.backlog-s.reported.Backlog, s.reported.Backlog-s.backlog)
 	requests := max(s.running-s.reported.Running, s.reported.Running-s.running)
-	if tokens >= reportStep || requests >= reportRequests || s.backlog == 0 && s.reported.Backlog > 0 {
-		b.changed()
+	if tokens >= minBacklogChangeTokens || requests >= minRunningChange || s.backlog == 0 && s.reported.Backlog > 0 {
+		b.notifyChange()
 	}
 }
 
-// publishPlacement passes on where a prompt's prefix is now.
-func (b *Balancer) publishPlacement(s *server, p prefix, prefilled bool, now time.Time) {
-	b.noteHolder(s, p.keys)
-	if !s.cached.note(p.keys, prefilled, now) || p.tokens < placementLeast || len(b.placements) >= placementsMost {
+// queuePlacement records where a prompt's prefix is now, and queues it for the next report if
+// needed.
+func (b *Balancer) queuePlacement(s *server, p prefix, prefilled bool, now time.Time) {
+	b.recordHolder(s, p.keys)
+	if !s.cached.record(p.keys, prefilled, now) || p.tokens < minPlacementTokens || len(b.placements) >= maxPendingPlacements {
 		return
 	}
 	s.cached.markPublished(p.keys, now)
 	b.placements = append(b.placements, Placement{Server: s.key, Parts: p.keys, Prefilled: prefilled})
-	b.changed()
+	b.notifyChange()
 }
 
-func (b *Balancer) changed() {
+func (b *Balancer) notifyChange() {
 	if b.onChange != nil {
 		b.onChange()
 	}
 }
 
-// prefix is the parts of a prompt that other requests may share, with what is worked out
-// of them once for each request.
+// prefix is the shared part of a prompt, with values computed once per request.
 type prefix struct {
 	parts  []Part
 	keys   []partKey
--- a/pkg/balancer/shortlist.go
+++ b/pkg/balancer/shortlist.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// lookAtAll is up to how many candidates each is looked at. Of more a choice looks at those that
-	// may have the prompt's prefix, its homes, and some drawn ones, so that its cost does not grow
-	// with the fleet: 0.03 ms in place of 2.3 ms for 9,845 candidates (BenchmarkPick).
-	lookAtAll = 512
-	// drawnMost is how many candidates are drawn. In a fleet whose servers are idle for the most
-	// part nearly all of them are; where nine in ten are busy three of them are not.
-	drawnMost = 32
-	// homesMost is how many homes a prefix has, of which the first that is usable counts.
-	homesMost = 3
-	// holdersMost bounds the servers that are looked at for what they have cached, and those that
-	// are remembered for each part of a prompt: of one that thousands have a few do.
-	holdersMost = 16
-	// holdersKept bounds the parts whose holders are remembered.
-	holdersKept = 1 << 16
+	// maxFullScan is the list length up to which a choice evaluates every candidate. In longer
+	// lists it evaluates only the prefix's homes, its holders and a random sample, so that its
+	// cost does not grow with the fleet.
+	maxFullScan = 512
+	// sampleSize is the number of candidates drawn at random: enough to include idle servers even
+	// if nine in ten are busy.
+	sampleSize = 32
+	// homesPerPrefix is the number of homes of a prefix; the first eligible one is used.
+	homesPerPrefix = 3
+	// maxHolders bounds the holders evaluated by a choice, and those recorded for each prompt
+	// part. A prefix cached by thousands of servers needs only a few.
+	maxHolders = 16
+	// maxHolderParts bounds the prompt parts whose holders are recorded.
+	maxHolderParts = 1 << 16
 )
 
-// candidateIndex finds candidates by their keys. It is made once for each list.
+// candidateIndex finds candidates by key. It is built once for each list.
 type candidateIndex struct {
 	servers []routing.Server
-	// keys are those of the servers in order, at the places of their servers in the list.
-	keys []ServerKey
-	at   []int
+	// keys holds the sorted keys of the servers, positions their positions in the list.
+	keys      []ServerKey
+	positions []int
 }
 
 func newCandidateIndex(servers []routing.Server) *candidateIndex {
-	x := &candidateIndex{servers: servers, keys: make([]ServerKey, len(servers)), at: make([]int, len(servers))}
-	keyAt := make([]ServerKey, len(servers))
+	x := &candidateIndex{servers: servers, keys: make([]ServerKey, len(servers)), positions: make([]int, len(servers))}
+	keyByPosition := make([]ServerKey, len(servers))
 	for i := range servers {
-		keyAt[i] = KeyOf(servers[i].Life())
-		x.at[i] = i
+		keyByPosition[i] = KeyOf(servers[i].Life())
+		x.positions[i] = i
 	}
-	slices.SortFunc(x.at, func(a, b int) int { return int(keyAt[a]) - int(keyAt[b]) })
-	for i, at := range x.at {
-		x.keys[i] = keyAt[at]
+	slices.SortFunc(x.positions, func(a, b int) int { return int(keyByPosition[a]) - int(keyByPosition[b]) })
+	for i, position := range x.positions {
+		x.keys[i] = keyByPosition[position]
 	}
 	return x
 }
 
-// isOf tells whether the index is of a list. Lists are not changed once they are in use.
-func (x *candidateIndex) isOf(servers []routing.Server) bool {
+// covers reports whether the index was built for this list. Lists are immutable once in use.
+func (x *candidateIndex) covers(servers []routing.Server) bool {
 	return x != nil && len(x.servers) == len(servers) && &x.servers[0] == &servers[0]
 }
 
-// place returns the place of a key among the keys, false if no candidate has it.
-func (x *candidateIndex) place(key ServerKey) (int, bool) { return slices.BinarySearch(x.keys, key) }
+// position returns the position of a key among the keys, false if no candidate has it.
+func (x *candidateIndex) position(key ServerKey) (int, bool) { return slices.BinarySearch(x.keys, key) }
 
-// within returns the places among the keys that belong to a lane.
-func (x *candidateIndex) within(l lane) (from, to int) {
+// laneRange returns the range of keys that belongs to a lane.
+func (x *candidateIndex) laneRange(l lane) (from, to int) {
 	switch {
 	case l.size == 0 || l.size >= len(x.keys):
 		return 0, len(x.keys)
@@ -67,26 +67,26 @@
 	return l.size, len(x.keys)
 }
 
-// shortlist is the places in a list of candidates at which a choice looks, homes first.
+// shortlist holds the positions of the candidates that a choice evaluates, homes first.
 type shortlist struct {
-	at    []int
-	homes int
+	positions []int
+	homes     int
 }
 
-// allOf is a shortlist of all candidates, each of which may be a home.
-func allOf(servers []routing.Server) shortlist {
-	list := shortlist{at: make([]int, len(servers)), homes: len(servers)}
-	for i := range list.at {
-		list.at[i] = i
+// fullShortlist returns a shortlist of all servers, each of which may be a home.
+func fullShortlist(servers []routing.Server) shortlist {
+	list := shortlist{positions: make([]int, len(servers)), homes: len(servers)}
+	for i := range list.positions {
+		list.positions[i] = i
 	}
 	return list
 }
 
-// keysOf returns the keys of all candidates in order: by the index, or without one those of the
-// choices.
-func keysOf(x *candidateIndex, choices []choice) []ServerKey {
-	if x != nil {
-		return x.keys
+// keysOf returns the sorted keys of all candidates: those of the index, or without one those of
+// the choices.
+func keysOf(index *candidateIndex, choices []choice) []ServerKey {
+	if index != nil {
+		return index.keys
 	}
 	keys := make([]ServerKey, len(choices))
 	for i := range choices {
@@ -96,57 +96,57 @@
 	return keys
 }
 
-// add adds a place unless it stands there already.
-func (s *shortlist) add(at int) {
-	if !slices.Contains(s.at, at) {
-		s.at = append(s.at, at)
+// add adds a position unless it is already present.
+func (s *shortlist) add(position int) {
+	if !slices.Contains(s.positions, position) {
+		s.positions = append(s.positions, position)
 	}
 }
 
-// shorten chooses the candidates of a long list at which a choice looks.
-func (b *Balancer) shorten(q Query, x *candidateIndex, l lane, shared prefix) shortlist {
-	list := shortlist{at: make([]int, 0, homesMost+holdersMost+drawnMost)}
-	from, to := x.within(l)
-	first, _ := x.place(ServerKey(xxhash.Sum64String(q.prefix())))
-	first = max(first, from)
-	for i := range min(homesMost, to-from) {
-		list.add(x.at[from+(first-from+i)%(to-from)])
+// sampleCandidates selects the candidates of a long list that a choice evaluates.
+func (b *Balancer) sampleCandidates(q Query, index *candidateIndex, l lane, shared prefix) shortlist {
+	list := shortlist{positions: make([]int, 0, homesPerPrefix+maxHolders+sampleSize)}
+	from, to := index.laneRange(l)
+	start, _ := index.position(ServerKey(xxhash.Sum64String(q.prefixID())))
+	start = max(start, from)
+	for i := range min(homesPerPrefix, to-from) {
+		list.add(index.positions[from+(start-from+i)%(to-from)])
 	}
-	list.homes = len(list.at)
+	list.homes = len(list.positions)
 	for _, key := range b.holdersOf(shared) {
-		if i, ok := x.place(key); ok {
-			list.add(x.at[i])
+		if i, ok := index.position(key); ok {
+			list.add(index.positions[i])
 		}
 	}
-	for range drawnMost {
-		list.add(x.at[from+rand.IntN(to-from)])
+	for range sampleSize {
+		list.add(index.positions[from+rand.IntN(to-from)])
 	}
 	return list
 }
 
-// holdersOf returns servers that may have the most of a prefix cached, at most so many.
+// holdersOf returns at most maxHolders servers that may have the longest parts of a prefix cached.
 func (b *Balancer) holdersOf(shared prefix) []ServerKey {
 	var list []ServerKey
 	for _, part := range slices.Backward(shared.keys) {
 		list = append(list, b.holders[part]...)
-		if len(list) >= holdersMost {
-			return list[:holdersMost]
+		if len(list) >= maxHolders {
+			return list[:maxHolders]
 		}
 	}
 	return list
 }
 
-// noteHolder remembers that a server may have parts of a prompt cached. What is cached in truth is
-// known of the server itself.
-func (b *Balancer) noteHolder(s *server, parts []partKey) {
-	if len(b.holders) > holdersKept {
+// recordHolder records that a server may have prompt parts cached. The authoritative state is
+// server.cached.
+func (b *Balancer) recordHolder(s *server, parts []partKey) {
+	if len(b.holders) > maxHolderParts {
 		clear(b.holders)
 	}
 	for _, part := range parts {
 		list := b.holders[part]
 		switch {
 		case slices.Contains(list, s.key):
-		case len(list) < holdersMost:
+		case len(list) < maxHolders:
 			b.holders[part] = append(list, s.key)
 		default:
 			list[rand.IntN(len(list))] = s.key
--- a/pkg/balancer/shortlist_test.go
+++ b/pkg/balancer/shortlist_test.go
@@ -12,19 +12,19 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// many is a list that is too long to look at each candidate.
-const many = 4 * lookAtAll
+// longList is a list length at which a choice evaluates only a sample of the candidates.
+const longList = 4 * maxFullScan
 
 func TestBoxesAgreeOnHomesInLongLists(t *testing.T) {
 	now := time.Now()
 	first, second := New(log.NewNopLogger()), New(log.NewNopLogger())
 	homes := make(map[string]int)
 	for i := range 200 {
-		q := query(many, fmt.Sprintf("part-%d", i))
+		q := query(longList, fmt.Sprintf("part-%d", i))
 		a, ok := first.Pick(q, now)
 		require.True(t, ok)
-		// Lists are made anew with each change, of which most leave the homes alone.
-		q.Candidates = append(servers(many), routing.Server{ID: fmt.Sprintf("i-new-%d", i), Service: "models"})
+		// A list change, after which the homes are mostly the same.
+		q.Candidates = append(servers(longList), routing.Server{ID: fmt.Sprintf("i-new-%d", i), Service: "models"})
 		b, _ := second.Pick(q, now)
 		assert.Equal(t, a.Server.ID, b.Server.ID)
 		homes[a.Server.ID]++
@@ -39,17 +39,18 @@
 func TestCachedPrefixIsFoundInLongLists(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := query(many, "shared")
-	at := KeyOf(q.Candidates[many/2].Life())
-	b.RecordPlacements([]Placement{{Server: at, Parts: prefixOf(q.shared()).keys, Prefilled: true}}, now)
+	q := query(longList, "shared")
+	holder := KeyOf(q.Candidates[longList/2].Life())
+	b.RecordPlacements([]Placement{{Server: holder, Parts: prefixOf(q.sharedParts()).keys, Prefilled: true}}, now)
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
-	assert.Equal(t, q.Candidates[many/2].ID, l.Server.ID)
+	assert.Equal(t, q.Candidates[longList/2].ID, l.Server.ID)
 	assert.Equal(t, 8000, l.Inputs.CachedTokens)
 }
 
-// busiest is the most requests that a server of so many gets of a thousand with one prefix.
-func busiest(t *testing.T, servers int) int {
+// maxRunning sends a thousand requests with one prefix, and returns the highest number at one
+// server.
+func maxRunning(t *testing.T, servers int) int {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := query(servers, "shared")
@@ -57,27 +58,27 @@
 		q.Candidates[i].Slots = 16
 	}
 	running := make(map[string]int)
-	most := 0
+	highest := 0
 	for range 1000 {
 		l, ok := b.Pick(q, now)
 		require.True(t, ok)
 		running[l.Server.ID]++
-		most = max(most, running[l.Server.ID])
+		highest = max(highest, running[l.Server.ID])
 		l.PrefillDone(now)
 	}
-	return most
+	return highest
 }
 
-// Requests that share a prefix are spread over a long list about as they are over a short one, of
-// which each server is looked at.
+// Requests with the same prefix spread over a long list about as evenly as over a list that is
+// evaluated completely.
 func TestLoadIsSpreadInLongLists(t *testing.T) {
-	assert.LessOrEqual(t, busiest(t, many), busiest(t, lookAtAll)+1)
+	assert.LessOrEqual(t, maxRunning(t, longList), maxRunning(t, maxFullScan)+1)
 }
 
-func TestTriedServersAreLeftOutOfLongLists(t *testing.T) {
+func TestExcludedServersAreNotPickedFromLongLists(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
-	q := query(many, "shared")
+	q := query(longList, "shared")
 	for range 5 {
 		l, ok := b.Pick(q, now)
 		require.True(t, ok)
@@ -87,15 +88,15 @@
 	}
 }
 
-// What a choice remembers does not grow with the list, nor does what it looks at.
+// The state recorded by a choice does not grow with the list.
 func TestChoiceDoesNotGrowWithTheList(t *testing.T) {
 	now := time.Now()
-	for _, n := range []int{many, 2 * many} {
+	for _, n := range []int{longList, 2 * longList} {
 		b := New(log.NewNopLogger())
 		q := query(n, "shared")
 		l, ok := b.Pick(q, now)
 		require.True(t, ok)
-		assert.LessOrEqual(t, len(b.servers), homesMost+holdersMost+drawnMost)
+		assert.LessOrEqual(t, len(b.servers), homesPerPrefix+maxHolders+sampleSize)
 		l.Done(ResultDone, now)
 	}
 }
--- a/pkg/balancer/workload.go
+++ b/pkg/balancer/workload.go
@@ -7,65 +7,66 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Workload is what all boxes have the servers of a service do.
+// Workload is the load of a service's servers from all boxes.
 type Workload struct {
-	// PrefillDemand is the tokens a second that they are asked to prefill.
+	// PrefillDemand is the requested prefill rate in tokens per second.
 	PrefillDemand float64
-	// EngineSpeed is how many tokens a second an engine prefills that does nothing else, zero if
-	// that is not known yet.
+	// EngineSpeed is the speed in tokens per second at which an otherwise idle engine prefills,
+	// zero if unknown.
 	EngineSpeed float64
-	// Running is how many requests the servers have, Slots how many they have places for.
+	// Running is the number of requests in flight, Slots the number of slots of the servers.
 	Running int
 	Slots   int
 }
 
-// Workload adds up what the servers of a service are asked to do.
+// Workload returns the total load of the servers of a service.
 func (b *Balancer) Workload(service string, servers []routing.Server, now time.Time) Workload {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var w Workload
-	if l, ok := b.lanes[ServiceKeyOf(service)]; ok {
-		d := l.report(now)
-		if b.othersKnown(now) {
-			d = d.Plus(l.others)
+	if stats, ok := b.services[ServiceKeyOf(service)]; ok {
+		demand := stats.demand(now)
+		if b.peerLoadsFresh(now) {
+			demand = demand.Plus(stats.peers)
 		}
-		w.PrefillDemand, w.EngineSpeed = d.Interactive+d.Bulk, d.speed()
+		w.PrefillDemand, w.EngineSpeed = demand.Interactive+demand.Bulk, demand.speed()
 	}
 	for i := range servers {
 		key := KeyOf(servers[i].Life())
 		if s := b.servers[key]; s != nil {
 			w.Running += s.running
 		}
-		w.Running += b.other(key, now).Running
+		w.Running += b.peerLoad(key, now).Running
 		w.Slots += servers[i].Slots
 	}
 	return w
 }
 
 const (
-	// speedTokens is the least prefill that tells an engine's speed: of shorter ones the time
-	// to the first event is mostly the engine's first steps.
-	speedTokens = 2000
-	// speedSamples is how many prefills are remembered, speedQuantile the place among them, in
-	// order, that tells the speed. Most prefills are slowed by streams that run beside them, and
-	// a few seem too fast as their prompt was cached after all.
-	speedSamples  = 31
-	speedQuantile = 0.8
+	// minSpeedSampleTokens is the length from which a prefill is a speed sample: in shorter ones
+	// the time to the first event is dominated by the engine's first steps.
+	minSpeedSampleTokens = 2000
+	// maxSpeedSamples is the number of samples kept; speedQuantile is the quantile taken as the
+	// speed. Most prefills are slowed by concurrent streams, and a few appear too fast because
+	// their prompt was cached.
+	maxSpeedSamples = 31
+	speedQuantile   = 0.8
 )
 
-// prefillSpeed learns how fast engines prefill from prefills that had an engine to themselves.
+// prefillSpeed estimates the prefill speed of engines from prefills that had an engine to
+// themselves.
 type prefillSpeed struct{ samples []float64 }
 
-// add takes in a prefill and the time to its first event.
-func (p *prefillSpeed) add(tokens int, took time.Duration) {
-	if tokens < speedTokens || took <= 0 {
+// add adds a prefill and the time to its first event.
+func (p *prefillSpeed) add(tokens int, elapsed time.Duration) {
+	if tokens < minSpeedSampleTokens || elapsed <= 0 {
 		return
 	}
-	p.samples = append(p.samples, float64(tokens)/took.Seconds())
-	p.samples = p.samples[max(0, len(p.samples)-speedSamples):]
+	p.samples = append(p.samples, float64(tokens)/elapsed.Seconds())
+	p.samples = p.samples[max(0, len(p.samples)-maxSpeedSamples):]
 }
 
-// tokensPerSecond is the speed, zero before the first prefill.
+// tokensPerSecond returns the estimated speed, zero without samples.
 func (p *prefillSpeed) tokensPerSecond() float64 {
 	if len(p.samples) == 0 {
 		return 0
--- a/pkg/balancer/workload_test.go
+++ b/pkg/balancer/workload_test.go
@@ -11,9 +11,8 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// What a server has cached is taken from it while it leaves: nothing of the prefix has to be
-// prefilled again.
-func TestPrefixesAreTakenFromServersThatLeave(t *testing.T) {
+// A prefix cached by a draining server is transferred from it instead of being prefilled again.
+func TestPrefixIsTransferredFromDrainingServer(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := query(3, "part")
@@ -37,15 +36,15 @@
 	assert.Less(t, next.Inputs.PrefillTokens, first.Inputs.PrefillTokens)
 }
 
-// A workload holds what all boxes have the servers do, and the speed that all of them saw.
-func TestWorkloadIsThatOfAllBoxes(t *testing.T) {
+// A workload includes the load and the prefill speed reported by other boxes.
+func TestWorkloadIncludesPeers(t *testing.T) {
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	q := query(4, "part")
 	q.Service, q.Class = "models", "class"
-	for range samplesLeast {
+	for range minSpeedSamples {
 		l, _ := two.Pick(q, now)
-		l.backlog = 10 * speedTokens
+		l.backlog = 10 * minSpeedSampleTokens
 		l.state.backlog = l.backlog
 		l.PrefillDone(now.Add(time.Second))
 		l.Done(ResultDone, now.Add(time.Second))
@@ -60,18 +59,18 @@
 	w := one.Workload(q.Service, q.Candidates, now)
 	assert.Equal(t, 2, w.Running)
 	assert.Positive(t, w.PrefillDemand)
-	assert.InDelta(t, 10*speedTokens, w.EngineSpeed, speedTokens)
-	late := now.Add(2 * othersFor)
-	assert.Equal(t, 1, one.Workload(q.Service, q.Candidates, late).Running, "the others' word is too old")
+	assert.InDelta(t, 10*minSpeedSampleTokens, w.EngineSpeed, minSpeedSampleTokens)
+	late := now.Add(2 * peerLoadTTL)
+	assert.Equal(t, 1, one.Workload(q.Service, q.Candidates, late).Running, "peer loads have expired")
 }
 
-func TestSpeedIsLearnedFromLongPrefillsOnly(t *testing.T) {
+func TestShortPrefillsAreNoSpeedSamples(t *testing.T) {
 	var p prefillSpeed
-	p.add(speedTokens-1, time.Millisecond)
+	p.add(minSpeedSampleTokens-1, time.Millisecond)
 	assert.Zero(t, p.tokensPerSecond())
-	for i := range 3 * speedSamples {
-		p.add(speedTokens, time.Duration(100+i%10)*time.Millisecond)
+	for i := range 3 * maxSpeedSamples {
+		p.add(minSpeedSampleTokens, time.Duration(100+i%10)*time.Millisecond)
 	}
-	assert.Len(t, p.samples, speedSamples)
-	assert.InDelta(t, speedTokens/0.1, p.tokensPerSecond(), speedTokens)
+	assert.Len(t, p.samples, maxSpeedSamples)
+	assert.InDelta(t, minSpeedSampleTokens/0.1, p.tokensPerSecond(), minSpeedSampleTokens)
 }
