--- a/pkg/balancer/admission_test.go
+++ b/pkg/balancer/admission_test.go
@@ -147,7 +147,7 @@
 // An overloaded service, at the start of a box or later, refuses the least urgent requests at
 // once: few requests time out, the engines stay busy, and no rank fares worse than a less urgent
 // one.
-func TestOverloadedServiceRefusesTheLeastUrgent(t *testing.T) {
+func TestOverloadedServiceRefusesLeastUrgent(t *testing.T) {
 	for _, capacityRatio := range []float64{0.15, 0.30, 0.55} {
 		for _, warmUp := range []time.Duration{0, 5 * time.Second} {
 			t.Run(fmt.Sprintf("%.0f%% capacity after %s", 100*capacityRatio, warmUp), func(t *testing.T) {
@@ -194,7 +194,7 @@
 	assert.Less(t, 10*with, without)
 }
 
-func TestServiceWithRoomRefusesNobody(t *testing.T) {
+func TestUnderloadedServiceRefusesNoRequests(t *testing.T) {
 	s := newSimulation(12, true)
 	s.run(0.8*12*simTokensPerSecond, 20*time.Second)
 	for rank, o := range s.outcomes() {
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -181,7 +181,7 @@
 
 // A server that fails fast looks idle. Requests that can't be repeated avoid it even if it has
 // their prefix cached.
-func TestOnceOnlyRequestsLeaveAFailingServer(t *testing.T) {
+func TestNonRepeatableRequestsAvoidFailingServer(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := query(5, "part")
@@ -331,7 +331,7 @@
 }
 
 // Requests of other boxes occupy slots too: each request finds a free slot while there is one.
-func TestRequestsFindFreePlaces(t *testing.T) {
+func TestRequestsFindFreeSlots(t *testing.T) {
 	now := time.Now()
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	running := make(map[string]int)
@@ -366,7 +366,7 @@
 
 // Prompts that share only their first part are spread by their whole prefix, even if that part is
 // cached on a single server and boxes have not exchanged reports.
-func TestColdPrefixesSpreadThoughAPartIsCached(t *testing.T) {
+func TestColdPrefixesSpreadWhenFirstPartIsCached(t *testing.T) {
 	now := time.Now()
 	chosen := make(map[string]int)
 	for i := range 60 {
@@ -386,7 +386,7 @@
 
 // A long prompt avoids an engine whose memory it would exceed, as less urgent requests would be
 // preempted.
-func TestEnginesMemoryCounts(t *testing.T) {
+func TestFullEngineMemoryIsAvoided(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{Candidates: serversWithSlots(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 20000, MaxOutputTokens: 500, EngineMemoryTokens: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
@@ -401,7 +401,7 @@
 }
 
 // Boxes with the same stale loads do not all choose the server that had the lowest load.
-func TestBoxesWithTheSameOldLoadsSpread(t *testing.T) {
+func TestBoxesWithSameStaleLoadsSpread(t *testing.T) {
 	now := time.Now()
 	loads := make(map[ServerKey]Load)
 	for i, s := range servers(10) {
@@ -425,7 +425,7 @@
 
 // A server restarted under the same ID inherits no prefixes, load or failures, nor what other
 // boxes still report about its previous life.
-func TestNewLifeOfAServerInheritsNothing(t *testing.T) {
+func TestRestartedServerInheritsNoState(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	before := servers(1)
@@ -461,7 +461,7 @@
 }
 
 // Prefixes cached by a server before its restart can't be transferred from it afterwards.
-func TestNoTransferFromALifeThatIsGone(t *testing.T) {
+func TestNoTransferFromPreviousLife(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	list := servers(2)
--- a/pkg/balancer/peer_reports_test.go
+++ b/pkg/balancer/peer_reports_test.go
@@ -42,7 +42,7 @@
 }
 
 // Each of many boxes sees only a few calls to a server; their failures add up.
-func TestFailuresOfManyBoxesAreKnownToAll(t *testing.T) {
+func TestFailuresSeenByManyBoxesAddUp(t *testing.T) {
 	now := time.Now()
 	var peers []*Balancer
 	for range 12 {
@@ -65,7 +65,7 @@
 }
 
 // Failures seen by a single box, or its broken network path, eject no server for the others.
-func TestOneBoxEjectsNothingForOthers(t *testing.T) {
+func TestSingleBoxEjectsNothingForOthers(t *testing.T) {
 	now := time.Now()
 	for name, r := range map[string]Result{"fails for one box": ResultFailed, "unreachable for one box": ResultUnreached} {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 
 // Once a box has reported failures, the successful calls of all boxes count, including boxes
 // without failures.
-func TestCallsThatWentWellCount(t *testing.T) {
+func TestSuccessfulCallsOfAllBoxesCount(t *testing.T) {
 	now := time.Now()
 	failing, healthy, b := New(log.NewNopLogger()), New(log.NewNopLogger()), New(log.NewNopLogger())
 	for range 3 {
--- a/pkg/balancer/profile_test.go
+++ b/pkg/balancer/profile_test.go
@@ -57,7 +57,7 @@
 
 // A class with short prompts and long streams is distinguished from one with long prompts whatever
 // their shares of the load and the variance of lengths.
-func TestInteractiveClassIsToldInEachMix(t *testing.T) {
+func TestInteractiveClassIsDetectedInEachMix(t *testing.T) {
 	for _, ratio := range []float64{0.2, 1, 5} {
 		t.Run(fmt.Sprint(ratio), func(t *testing.T) {
 			interactive := simulate(rand.New(rand.NewPCG(1, 2)), []traffic{
--- a/pkg/balancer/shortlist_test.go
+++ b/pkg/balancer/shortlist_test.go
@@ -89,7 +89,7 @@
 }
 
 // The state recorded by a choice does not grow with the list.
-func TestChoiceDoesNotGrowWithTheList(t *testing.T) {
+func TestPickStateDoesNotGrowWithListLength(t *testing.T) {
 	now := time.Now()
 	for _, n := range []int{longList, 2 * longList} {
 		b := New(log.NewNopLogger())
--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -31,7 +31,7 @@
 // urgent requests first, and only what is before a request counts, the least urgent are refused
 // first. It guards against queues that fill with what is given up in them: with engines for 30 in
 // 100 of a load, 168 requests waited in vain in 20 s of played load in place of 2,503, and urgent
-// ones were all served (TestOverloadedServiceRefusesTheLeastUrgent).
+// ones were all served (TestOverloadedServiceRefusesLeastUrgent).
 func (x *exchange) admit() error {
 	if !x.service.Engine {
 		return nil
