--- a/pkg/backend/probe.go
+++ b/pkg/backend/probe.go
@@ -24,22 +24,22 @@
 
 // Probe asks a server for its load. A server that answers without publishing any
 // counts as up and idle.
-func (c *Client) Probe(ctx context.Context, s config.Server) (scheduler.Report, error) {
+func (c *Client) Probe(ctx context.Context, s config.Server) (scheduler.LoadReport, error) {
 	resp, err := c.upstream.Do(ctx, upstream.Request{
 		Server: s.Address, Address: s.Address, Method: http.MethodGet, Target: LoadPath, Host: s.Address,
 	})
 	if err != nil {
-		return scheduler.Report{}, err
+		return scheduler.LoadReport{}, err
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, loadMost))
 	resp.Close(err == nil && len(body) < loadMost)
 	if err != nil {
-		return scheduler.Report{}, err
+		return scheduler.LoadReport{}, err
 	}
 	var l Load
 	if resp.Status == http.StatusOK {
 		// A body of another form is no load.
 		_ = json.Unmarshal(body, &l)
 	}
-	return scheduler.Report{Server: s.Name, Running: l.Running, Leaving: l.Leaving}, nil
+	return scheduler.LoadReport{Server: s.Name, Running: l.Running, Leaving: l.Leaving}, nil
 }
--- a/pkg/box/calls.go
+++ b/pkg/box/calls.go
@@ -21,7 +21,7 @@
 
 // EndClaim implements peer.Calls.
 func (b *Box) EndClaim(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
-	return b.claims.ServeEnd(ctx, r)
+	return b.claims.ServeEndClaim(ctx, r)
 }
 
 // PullConfig implements peer.Calls.
--- a/pkg/box/follow.go
+++ b/pkg/box/follow.go
@@ -252,7 +252,7 @@
 	b.links.SetTargets(targets)
 }
 
-// keys names the shards whose owners this box reserves with. Claim homes are
+// keys names the shards whose owners this box reserves with. Claim coordinators are
 // called without a link.
 func (b *Box) keys() []membership.Key {
 	st, v := b.store.Current(), b.tracker.View()
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -44,7 +44,7 @@
 // differ, and what callers were told.
 type world struct {
 	platform *standin.Server
-	homes    []*Home
+	homes    []*Coordinator
 	n        int
 	// last is the last attempt for a key, holder the one that was told Granted
 	// and has not freed the key.
@@ -62,8 +62,8 @@
 	return w
 }
 
-func (w *world) newHome() *Home {
-	return NewHome(w.platform.Client(), "p", 0, log.NewNopLogger())
+func (w *world) newHome() *Coordinator {
+	return NewCoordinator(w.platform.Client(), "p", 0, log.NewNopLogger())
 }
 
 func key(n int) Key { return KeyOf("o", fmt.Sprint("key", n)) }
@@ -103,7 +103,7 @@
 	}
 }
 
-func (w *world) claim(ctx context.Context, h *Home, k int, attempt string) {
+func (w *world) claim(ctx context.Context, h *Coordinator, k int, attempt string) {
 	r, err := h.Claim(ctx, key(k), attempt)
 	if err != nil || r.State != Granted {
 		return
@@ -152,8 +152,8 @@
 	ctx := t.Context()
 	p := standin.New()
 	tr := &holding{next: p.Transport()}
-	frozen := NewHome(objectstore.NewClientOver(tr, "http://platform", "", callrate.Default), "p", 0, log.NewNopLogger())
-	other := NewHome(p.Client(), "p", 0, log.NewNopLogger())
+	frozen := NewCoordinator(objectstore.NewClientOver(tr, "http://platform", "", callrate.Default), "p", 0, log.NewNopLogger())
+	other := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
 	tr.hold = func() {
 		r, err := other.Claim(ctx, key(1), "other")
 		require.NoError(t, err)
@@ -170,7 +170,7 @@
 func TestClaimThatAnotherHomeRecordedDoesNotStandForItsBatch(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
-	home, stale, third := NewHome(p.Client(), "p", 0, log.NewNopLogger()), NewHome(p.Client(), "p", 0, log.NewNopLogger()), NewHome(p.Client(), "p", 0, log.NewNopLogger())
+	home, stale, third := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
 	_, err := stale.Claim(ctx, key(9), "loads the log")
 	require.NoError(t, err)
 	r, err := home.Claim(ctx, key(1), "first")
@@ -197,7 +197,7 @@
 func TestOutageIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
-		h := NewHome(p.Client(), "p", 0, log.NewNopLogger())
+		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
 		p.SetFaults(standin.Faults{Down: true})
 		began := time.Now()
 		_, err := h.Claim(t.Context(), key(1), "a")
@@ -221,7 +221,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
-		h := NewHome(p.Client(), "p", 0, log.NewNopLogger())
+		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
 		done := make(chan error, 100)
 		for i := range 100 {
 			go func() {
@@ -245,7 +245,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
-		h := NewHome(p.Client(), "p", 0, log.NewNopLogger())
+		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
 		states := make(chan State, 50)
 		// A write under way gathers the callers into one batch.
 		go func() { _, _ = h.Claim(t.Context(), key(2), "first") }()
--- a/pkg/claims/client.go
+++ b/pkg/claims/client.go
@@ -31,14 +31,14 @@
 
 	mu    sync.Mutex
 	peers Peers
-	homes map[int]*Home
+	homes map[int]*Coordinator
 
 	abandoned atomic.Int64
 }
 
 // NewClient returns a client; Attach must be called before it is used.
 func NewClient(objects objectstore.Objects, prefix string, tracker *membership.Tracker, logger log.Logger) *Client {
-	return &Client{objects: objects, prefix: prefix, tracker: tracker, logger: logger, homes: make(map[int]*Home)}
+	return &Client{objects: objects, prefix: prefix, tracker: tracker, logger: logger, homes: make(map[int]*Coordinator)}
 }
 
 // Attach gives the client its peers.
@@ -48,13 +48,13 @@
 	c.peers = p
 }
 
-// Home returns this box's home of a claim shard.
-func (c *Client) Home(shard int) *Home {
+// Coordinator returns this box's home of a claim shard.
+func (c *Client) Coordinator(shard int) *Coordinator {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.homes[shard]
 	if h == nil {
-		h = NewHome(c.objects, c.prefix, shard, c.logger)
+		h = NewCoordinator(c.objects, c.prefix, shard, c.logger)
 		c.homes[shard] = h
 	}
 	return h
@@ -99,7 +99,7 @@
 		}
 		level.Debug(c.logger).Log("msg", "claim home does not answer; claiming here", "home", box, "err", err)
 	}
-	return c.Home(k.Shard()).Claim(ctx, k, attempt)
+	return c.Coordinator(k.Shard()).Claim(ctx, k, attempt)
 }
 
 func claimAt(ctx context.Context, p peerpb.PeerClient, k Key, attempt string) (Result, error) {
@@ -125,7 +125,7 @@
 			return nil
 		}
 	}
-	return c.Home(k.Shard()).End(ctx, k, attempt, notRun)
+	return c.Coordinator(k.Shard()).End(ctx, k, attempt, notRun)
 }
 
 const (
@@ -165,20 +165,20 @@
 	if err != nil {
 		return nil, err
 	}
-	res, err := c.Home(k.Shard()).Claim(ctx, k, r.GetAttempt())
+	res, err := c.Coordinator(k.Shard()).Claim(ctx, k, r.GetAttempt())
 	if err != nil {
 		return &peerpb.ClaimReply{Unavailable: err.Error()}, nil
 	}
 	return &peerpb.ClaimReply{State: peerpb.ClaimState(res.State), Fence: res.Fence}, nil
 }
 
-// ServeEnd answers a peer's end of a claim as its home.
-func (c *Client) ServeEnd(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
+// ServeEndClaim ends a claim on behalf of a peer.
+func (c *Client) ServeEndClaim(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
 	k, err := keyOf(r.GetKey(), r.GetShard())
 	if err != nil {
 		return nil, err
 	}
-	return &peerpb.EndClaimReply{}, c.Home(k.Shard()).End(ctx, k, r.GetAttempt(), r.GetNotRun())
+	return &peerpb.EndClaimReply{}, c.Coordinator(k.Shard()).End(ctx, k, r.GetAttempt(), r.GetNotRun())
 }
 
 // BadKeyError says that a peer sent a key of the wrong size or shard.
--- a/pkg/claims/home.go
+++ b/pkg/claims/coordinator.go
@@ -14,8 +14,8 @@
 	"headhill.example/headhill/pkg/objlog"
 )
 
-// Keep is how long a key is remembered.
-const Keep = 24 * time.Hour
+// KeyRetention is how long a key is remembered.
+const KeyRetention = 24 * time.Hour
 
 const (
 	// appendTimeout bounds how long a claim waits for the platform's definite
@@ -45,9 +45,9 @@
 	Fence uint64
 }
 
-// Home appends to one claim shard's log. Any box may act as a home of any shard;
+// Coordinator appends to one claim shard's log. Any box may act as a home of any shard;
 // normally one does, because each conflict costs a write.
-type Home struct {
+type Coordinator struct {
 	log    *objlog.Log
 	logger log.Logger
 	keep   time.Duration
@@ -75,26 +75,26 @@
 	err error
 }
 
-// NewHome returns a home of claim shard n, whose log stands under prefix.
-func NewHome(objects objectstore.Objects, prefix string, n int, logger log.Logger) *Home {
+// NewCoordinator returns a home of claim shard n, whose log stands under prefix.
+func NewCoordinator(objects objectstore.Objects, prefix string, n int, logger log.Logger) *Coordinator {
 	x := newIndex()
-	return &Home{
+	return &Coordinator{
 		log:    objlog.New(objects, fmt.Sprintf("%s/claims/%02d", prefix, n), x),
 		logger: logger,
-		keep:   Keep,
+		keep:   KeyRetention,
 		index:  x,
 	}
 }
 
 // Claim records an attempt's claim of a key. Claiming again for the same attempt
 // gives the same answer. The error is *UnavailableError.
-func (h *Home) Claim(ctx context.Context, k Key, attempt string) (Result, error) {
+func (h *Coordinator) Claim(ctx context.Context, k Key, attempt string) (Result, error) {
 	return h.submit(ctx, record{Op: opClaim, Key: k, Attempt: attempt, At: time.Now().UTC()})
 }
 
 // End records how an attempt ended: run to its end, or not run, which frees the
 // key.
-func (h *Home) End(ctx context.Context, k Key, attempt string, notRun bool) error {
+func (h *Coordinator) End(ctx context.Context, k Key, attempt string, notRun bool) error {
 	op := opDone
 	if notRun {
 		op = opFree
@@ -105,7 +105,7 @@
 
 // submit queues a record and waits for its end. One append is in flight at a
 // time; what comes meanwhile goes into the next.
-func (h *Home) submit(ctx context.Context, rec record) (Result, error) {
+func (h *Coordinator) submit(ctx context.Context, rec record) (Result, error) {
 	op := &operation{ctx: ctx, rec: rec, done: make(chan operationResult, 1)}
 	h.mu.Lock()
 	h.waiting = append(h.waiting, op)
@@ -123,7 +123,7 @@
 }
 
 // commit appends what waits, batch by batch, until nothing does.
-func (h *Home) commit() {
+func (h *Coordinator) commit() {
 	for {
 		batch, ok := h.nextBatch()
 		if !ok {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (h *Home) nextBatch() (batch []*operation, ok bool) {
+func (h *Coordinator) nextBatch() (batch []*operation, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.waiting) == 0 {
@@ -156,7 +156,7 @@
 
 // fail answers a batch that was not recorded, or not surely. For a moment the
 // next ones get the same answer at once.
-func (h *Home) fail(batch []*operation, err error) {
+func (h *Coordinator) fail(batch []*operation, err error) {
 	now := time.Now()
 	if !now.Before(h.pausedUntil) {
 		level.Warn(h.logger).Log("msg", "claims can't be recorded", "calls", len(batch), "err", err)
@@ -169,7 +169,7 @@
 
 // append decides a batch against the log as it is and records what is new. When
 // the log turns out to be further on, it decides again.
-func (h *Home) append(batch []*operation) error {
+func (h *Coordinator) append(batch []*operation) error {
 	ctx, cancel := context.WithTimeout(context.Background(), appendTimeout)
 	defer cancel()
 	if !h.loaded {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (h *Home) store(ctx context.Context, next uint64, records []record) error {
+func (h *Coordinator) store(ctx context.Context, next uint64, records []record) error {
 	if len(records) == 0 {
 		return nil
 	}
@@ -210,7 +210,7 @@
 
 // decide works out which records of a batch are needed, and what their callers
 // are told if these get recorded from index next on.
-func (h *Home) decide(next uint64, batch []*operation) ([]record, []Result) {
+func (h *Coordinator) decide(next uint64, batch []*operation) ([]record, []Result) {
 	var records []record
 	claimed := make(map[Key]entry)
 	results := make([]Result, len(batch))
@@ -249,7 +249,7 @@
 }
 
 // fold shortens a long log.
-func (h *Home) fold() {
+func (h *Coordinator) fold() {
 	if !h.log.Foldable() {
 		return
 	}
--- a/pkg/claims/record.go
+++ b/pkg/claims/record.go
@@ -11,8 +11,8 @@
 	"headhill.example/headhill/pkg/objlog"
 )
 
-// Shards is the number of claim shards.
-const Shards = 16
+// ShardCount is the number of claim shards.
+const ShardCount = 16
 
 // KeySize is the size of a claim's key, in bytes.
 const KeySize = 16
@@ -34,7 +34,7 @@
 }
 
 // Shard returns the key's claim shard.
-func (k Key) Shard() int { return int(k[0]) % Shards }
+func (k Key) Shard() int { return int(k[0]) % ShardCount }
 
 // String returns the key in hex.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -71,7 +71,7 @@
 	if resp.Status >= 502 && !x.req.once {
 		return scheduler.Completion{}, &backend.BrokenError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
 	}
-	c := scheduler.Completion{OutputTokens: 1, FirstToken: time.Since(started)}
+	c := scheduler.Completion{OutputTokens: 1, TimeToFirstToken: time.Since(started)}
 	if err := x.pass(s, resp); err != nil {
 		return c, err
 	}
--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -111,8 +111,8 @@
 	if tokens == 0 {
 		return c
 	}
-	c.FirstToken = x.req.firstToken.Sub(started)
-	c.Between = x.req.between()
+	c.TimeToFirstToken = x.req.firstToken.Sub(started)
+	c.InterTokenLatency = x.req.between()
 	return c
 }
 
--- a/pkg/measure/policy.go
+++ b/pkg/measure/policy.go
@@ -39,9 +39,9 @@
 
 func serverName(i int) string { return fmt.Sprintf("s%02d", i) }
 
-func newHeadhill(o *Scenario, p scheduler.Policy, seed uint64) *headhill {
+func newHeadhill(o *Scenario, p scheduler.Ablations, seed uint64) *headhill {
 	h := &headhill{calls: make(map[uint64]*call), index: make(map[string]int)}
-	h.cfg = scheduler.Config{Queue: o.Queue, Headroom: o.Headroom, Policy: p}
+	h.cfg = scheduler.Config{QueueLimit: o.Queue, HeadroomSlots: o.Headroom, Ablations: p}
 	for _, c := range o.Classes {
 		h.cfg.Classes = append(h.cfg.Classes, c.Class)
 	}
@@ -63,10 +63,10 @@
 		PromptTokens: c.promptTokens,
 		Arrival:      start.Add(c.arrivedAt),
 		Deadline:     start.Add(c.arrivedAt + c.class.Deadline),
-		Prefix:       []uint64{uint64(c.prefix)},
+		PrefixHashes: []uint64{uint64(c.prefix)},
 	}
 	if c.avoid >= 0 {
-		r.Avoid = []string{serverName(c.avoid)}
+		r.AvoidServers = []string{serverName(c.avoid)}
 	}
 	return r
 }
@@ -84,13 +84,13 @@
 }
 
 func (h *headhill) report(now time.Duration, server, running int, down bool) {
-	h.sched.Report(start.Add(now), scheduler.Report{Server: serverName(server), Running: running, Down: down})
+	h.sched.Report(start.Add(now), scheduler.LoadReport{Server: serverName(server), Running: running, Down: down})
 }
 
 func (h *headhill) tick(now time.Duration) { h.sched.Tick(start.Add(now)) }
 
 func (h *headhill) take() []decision {
-	d := h.sched.Take()
+	d := h.sched.TakeDecisions()
 	var list []decision
 	for _, g := range d.Grants {
 		h.sched.Start(g.ID)
@@ -109,7 +109,7 @@
 func (h *headhill) handOver(now time.Duration, seed uint64) {
 	h.sched = scheduler.New(h.cfg, seed)
 	t := start.Add(now)
-	h.sched.Settle(t)
+	h.sched.BeginRecovery(t)
 	var waiting []scheduler.Request
 	var running []scheduler.RunningRequest
 	for _, c := range sortedCalls(h.calls) {
@@ -120,7 +120,7 @@
 		waiting = append(waiting, c.request())
 	}
 	h.sched.Sync(t, "b", waiting, running)
-	h.sched.Settled(t)
+	h.sched.EndRecovery(t)
 }
 
 // baseline is the policy to compare with: each call goes at once to the server
--- a/pkg/measure/result.go
+++ b/pkg/measure/result.go
@@ -89,7 +89,7 @@
 // settled tells whether a caller's end can be judged: those who asked shortly
 // before the run's end can't.
 func (r *Result) settled(c *call) bool {
-	return c.firstAsked < r.opts.Duration-c.class.FirstToken-settleFor
+	return c.firstAsked < r.opts.Duration-c.class.FirstTokenTarget-settleFor
 }
 
 func (r *Result) inBurst(t time.Duration) bool {
@@ -154,7 +154,7 @@
 	}
 	_ = cr.first.RecordValue(min(first.Microseconds(), histogramMost))
 	_ = cr.between.RecordValue(min(between.Microseconds(), histogramMost))
-	if !within(first, c.class.FirstToken) || !within(between, c.class.Between) || !r.settled(c) {
+	if !within(first, c.class.FirstTokenTarget) || !within(between, c.class.InterTokenTarget) || !r.settled(c) {
 		return
 	}
 	cr.attained++
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -387,9 +387,9 @@
 
 func (r *run) finished(q *sequence) {
 	c := q.call
-	done := scheduler.Completion{Result: scheduler.ResultDone, OutputTokens: q.generated, FirstToken: q.firstAt - q.startedAt}
+	done := scheduler.Completion{Result: scheduler.ResultDone, OutputTokens: q.generated, TimeToFirstToken: q.firstAt - q.startedAt}
 	if q.generated > 1 {
-		done.Between = (r.now - q.firstAt) / time.Duration(q.generated-1)
+		done.InterTokenLatency = (r.now - q.firstAt) / time.Duration(q.generated-1)
 	}
 	c.server = -1
 	r.end(c, true)
--- a/pkg/measure/scenario.go
+++ b/pkg/measure/scenario.go
@@ -114,7 +114,7 @@
 }
 
 func class(name string, tier int, floor float64, places int, first, between time.Duration) scheduler.Class {
-	return scheduler.Class{Name: name, Tier: tier, Floor: floor, FloorPlaces: 8, Places: places, FirstToken: first, Between: between}
+	return scheduler.Class{Name: name, Tier: tier, Floor: floor, FloorPlaces: 8, GuaranteedPlaces: places, FirstTokenTarget: first, InterTokenTarget: between}
 }
 
 // Variant is a scenario with one thing changed.
@@ -124,7 +124,7 @@
 	// Baseline runs the baseline policy instead of the scheduler.
 	Baseline bool
 	// Policy switches mechanisms of the scheduler off.
-	Policy scheduler.Policy
+	Policy scheduler.Ablations
 }
 
 // Mechanisms are the scheduler, the baseline, and the scheduler with each
@@ -133,12 +133,12 @@
 	return []Variant{
 		{Name: "headhill"},
 		{Name: "baseline", Baseline: true},
-		{Name: "no-floor", Policy: scheduler.Policy{NoFloor: true}},
-		{Name: "no-fairness", Policy: scheduler.Policy{NoFairness: true}},
-		{Name: "no-prefix", Policy: scheduler.Policy{NoPrefix: true}},
-		{Name: "no-adaptive-limit", Policy: scheduler.Policy{NoAdaptiveLimit: true}},
-		{Name: "no-headroom", Policy: scheduler.Policy{NoHeadroom: true}},
-		{Name: "no-early-refusal", Policy: scheduler.Policy{NoEarlyRefusal: true}},
+		{Name: "no-floor", Policy: scheduler.Ablations{NoFloor: true}},
+		{Name: "no-fairness", Policy: scheduler.Ablations{NoFairness: true}},
+		{Name: "no-prefix", Policy: scheduler.Ablations{NoPrefix: true}},
+		{Name: "no-adaptive-limit", Policy: scheduler.Ablations{NoAdaptiveLimit: true}},
+		{Name: "no-headroom", Policy: scheduler.Ablations{NoHeadroom: true}},
+		{Name: "no-early-refusal", Policy: scheduler.Ablations{NoEarlyRefusal: true}},
 	}
 }
 
@@ -151,7 +151,7 @@
 	return []Variant{
 		{Name: "slow-5x", Change: slow},
 		{Name: "slow-5x/baseline", Change: slow, Baseline: true},
-		{Name: "slow-5x/no-adaptive-limit", Change: slow, Policy: scheduler.Policy{NoAdaptiveLimit: true}},
+		{Name: "slow-5x/no-adaptive-limit", Change: slow, Policy: scheduler.Ablations{NoAdaptiveLimit: true}},
 	}
 }
 
--- a/pkg/scheduler/admission.go
+++ b/pkg/scheduler/admission.go
@@ -52,7 +52,7 @@
 // or nil while the queue is within its bound. A class that was within its floor
 // places is never the reason that the queue overflows.
 func (s *Scheduler) overflow(newcomer *class) *request {
-	if newcomer.beyond() == 0 || s.beyond() <= s.cfg.Queue {
+	if newcomer.beyond() == 0 || s.beyond() <= s.cfg.QueueLimit {
 		return nil
 	}
 	return s.victim()
@@ -80,7 +80,7 @@
 		if worst != nil && c.Tier < worst.Tier {
 			break
 		}
-		if worst == nil || c.waiting-c.Places > worst.waiting-worst.Places {
+		if worst == nil || c.waiting-c.GuaranteedPlaces > worst.waiting-worst.GuaranteedPlaces {
 			worst = c
 		}
 	}
@@ -96,7 +96,7 @@
 // places gets the benefit of the doubt.
 func (s *Scheduler) hopeless(now time.Time, r *request) bool {
 	c := r.flow.class
-	if s.cfg.Policy.NoEarlyRefusal || r.Deadline.IsZero() || c.waiting < c.FloorPlaces {
+	if s.cfg.Ablations.NoEarlyRefusal || r.Deadline.IsZero() || c.waiting < c.FloorPlaces {
 		return false
 	}
 	wait, known := s.expectedWait(c)
--- a/pkg/scheduler/admission_test.go
+++ b/pkg/scheduler/admission_test.go
@@ -12,15 +12,15 @@
 
 // oneServer is a shard of one server and the given classes.
 func oneServer(slots, queue int, classes ...Class) Config {
-	return Config{Classes: classes, Servers: []Server{{Name: "s1", Slots: slots}}, Queue: queue}
+	return Config{Classes: classes, Servers: []Server{{Name: "s1", Slots: slots}}, QueueLimit: queue}
 }
 
 func counterClass() Class {
-	return Class{Name: "counter", Tier: 1, Floor: 0.05, FloorPlaces: 2, Places: 20, FirstToken: time.Second}
+	return Class{Name: "counter", Tier: 1, Floor: 0.05, FloorPlaces: 2, GuaranteedPlaces: 20, FirstTokenTarget: time.Second}
 }
 
 func batchClass() Class {
-	return Class{Name: "batch", Tier: 3, Floor: 0.05, FloorPlaces: 2, Places: 20}
+	return Class{Name: "batch", Tier: 3, Floor: 0.05, FloorPlaces: 2, GuaranteedPlaces: 20}
 }
 
 // A shard that had little to do before a burst must not judge the burst by the
@@ -43,10 +43,10 @@
 			s.Tick(now)
 		}
 	}
-	s.Take()
+	s.TakeDecisions()
 	for range 200 {
 		s.Reserve(now, request())
 	}
 	// 8 slots of 100 ms each serve 200 requests in 2.5 s of the 30 s they have.
-	require.Empty(t, s.Take().Refusals)
+	require.Empty(t, s.TakeDecisions().Refusals)
 }
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -9,12 +9,12 @@
 
 // benchConfig is a shard of 32 servers and 7 classes, full.
 func benchConfig(queue int) Config {
-	cfg := Config{Queue: queue, Headroom: 4}
+	cfg := Config{QueueLimit: queue, HeadroomSlots: 4}
 	for i := range 32 {
 		cfg.Servers = append(cfg.Servers, Server{Name: fmt.Sprintf("server-%02d", i), Slots: 64})
 	}
 	for i := range 7 {
-		cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprintf("class-%d", i), Tier: i + 1, Floor: .03, FloorPlaces: 4, Places: queue / 7, FirstToken: time.Second, Between: 37 * time.Millisecond})
+		cfg.Classes = append(cfg.Classes, Class{Name: fmt.Sprintf("class-%d", i), Tier: i + 1, Floor: .03, FloorPlaces: 4, GuaranteedPlaces: queue / 7, FirstTokenTarget: time.Second, InterTokenTarget: 37 * time.Millisecond})
 	}
 	return cfg
 }
@@ -45,9 +45,9 @@
 		PromptTokens: 500,
 		Arrival:      l.now,
 		Deadline:     l.now.Add(time.Hour),
-		Prefix:       []uint64{l.seq % 100, l.seq % 1000, l.seq},
+		PrefixHashes: []uint64{l.seq % 100, l.seq % 1000, l.seq},
 	})
-	for _, g := range l.s.Take().Grants {
+	for _, g := range l.s.TakeDecisions().Grants {
 		l.s.Start(g.ID)
 		l.granted = append(l.granted, g.ID)
 	}
@@ -56,8 +56,8 @@
 func (l *loaded) finish() {
 	id := l.granted[0]
 	l.granted = l.granted[1:]
-	l.s.Finish(l.now, Completion{ID: id, Result: ResultDone, PromptTokens: 500, OutputTokens: 100, Between: 20 * time.Millisecond})
-	for _, g := range l.s.Take().Grants {
+	l.s.Finish(l.now, Completion{ID: id, Result: ResultDone, PromptTokens: 500, OutputTokens: 100, InterTokenLatency: 20 * time.Millisecond})
+	for _, g := range l.s.TakeDecisions().Grants {
 		l.s.Start(g.ID)
 		l.granted = append(l.granted, g.ID)
 	}
@@ -82,7 +82,7 @@
 // BenchmarkShed is a newcomer to a full queue.
 func BenchmarkShed(b *testing.B) {
 	l := newLoaded(10000)
-	l.s.cfg.Queue = 10000
+	l.s.cfg.QueueLimit = 10000
 	for b.Loop() {
 		l.reserve()
 	}
--- a/pkg/scheduler/differential_test.go
+++ b/pkg/scheduler/differential_test.go
@@ -13,21 +13,21 @@
 // servers, a short queue.
 func genConfig(t *rapid.T) Config {
 	cfg := Config{
-		Queue:    rapid.IntRange(1, 12).Draw(t, "queue"),
-		Headroom: rapid.IntRange(0, 2).Draw(t, "headroom"),
+		QueueLimit:    rapid.IntRange(1, 12).Draw(t, "queue"),
+		HeadroomSlots: rapid.IntRange(0, 2).Draw(t, "headroom"),
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "servers") {
 		cfg.Servers = append(cfg.Servers, Server{Name: fmt.Sprintf("s%d", i), Slots: rapid.IntRange(1, 4).Draw(t, "slots")})
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
 		c := Class{
-			Name:        fmt.Sprintf("c%d", i),
-			Tier:        rapid.IntRange(1, 3).Draw(t, "tier"),
-			Floor:       rapid.SampledFrom([]float64{0.02, 0.125, 0.4}).Draw(t, "floor"),
-			FloorPlaces: rapid.IntRange(1, 2).Draw(t, "floor places"),
-			Places:      rapid.IntRange(0, 4).Draw(t, "places"),
-			FirstToken:  time.Duration(rapid.IntRange(0, 3).Draw(t, "target")) * time.Second,
-			Between:     time.Duration(rapid.SampledFrom([]int{0, 37}).Draw(t, "between")) * time.Millisecond,
+			Name:             fmt.Sprintf("c%d", i),
+			Tier:             rapid.IntRange(1, 3).Draw(t, "tier"),
+			Floor:            rapid.SampledFrom([]float64{0.02, 0.125, 0.4}).Draw(t, "floor"),
+			FloorPlaces:      rapid.IntRange(1, 2).Draw(t, "floor places"),
+			GuaranteedPlaces: rapid.IntRange(0, 4).Draw(t, "places"),
+			FirstTokenTarget: time.Duration(rapid.IntRange(0, 3).Draw(t, "target")) * time.Second,
+			InterTokenTarget: time.Duration(rapid.SampledFrom([]int{0, 37}).Draw(t, "between")) * time.Millisecond,
 		}
 		if rapid.Bool().Draw(t, "restricted") {
 			c.Servers = []string{"s0"}
@@ -37,7 +37,7 @@
 	limits := map[string]Limits{
 		"o0": {Weight: 1},
 		"o1": {Weight: 2, Concurrency: rapid.IntRange(0, 2).Draw(t, "concurrency")},
-		"o2": {Weight: 1, Requests: 5, Tokens: 400},
+		"o2": {Weight: 1, RequestsPerSecond: 5, TokensPerSecond: 400},
 	}
 	cfg.Limits = func(name string) Limits { return limits[name] }
 	return cfg
@@ -55,7 +55,7 @@
 
 // check compares what the two decided since the last check.
 func (h *history) check(t *rapid.T) {
-	got, want := h.sched.Take(), h.naive.out
+	got, want := h.sched.TakeDecisions(), h.naive.out
 	h.naive.out = Decisions{}
 	for i := range got.Refusals {
 		// The naive version does not estimate when to come back.
@@ -86,10 +86,10 @@
 		r.Deadline = h.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond)
 	}
 	if p := rapid.IntRange(0, 3).Draw(t, "prefix"); p > 0 {
-		r.Prefix = []uint64{uint64(p), uint64(p*10 + rapid.IntRange(0, 1).Draw(t, "longer"))}
+		r.PrefixHashes = []uint64{uint64(p), uint64(p*10 + rapid.IntRange(0, 1).Draw(t, "longer"))}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
-		r.Avoid = []string{"s0"}
+		r.AvoidServers = []string{"s0"}
 	}
 	h.ids = append(h.ids, r.ID)
 	h.sched.Reserve(h.now, r)
@@ -98,18 +98,18 @@
 
 func (h *history) finish(t *rapid.T) {
 	c := Completion{
-		ID:           h.id(t),
-		Result:       rapid.SampledFrom([]Result{ResultDone, ResultDone, ResultFailed, ResultAbandoned}).Draw(t, "result"),
-		PromptTokens: rapid.IntRange(1, 200).Draw(t, "prompt"),
-		OutputTokens: rapid.IntRange(0, 400).Draw(t, "output"),
-		Between:      time.Duration(rapid.IntRange(0, 120).Draw(t, "between")) * time.Millisecond,
+		ID:                h.id(t),
+		Result:            rapid.SampledFrom([]Result{ResultDone, ResultDone, ResultFailed, ResultAbandoned}).Draw(t, "result"),
+		PromptTokens:      rapid.IntRange(1, 200).Draw(t, "prompt"),
+		OutputTokens:      rapid.IntRange(0, 400).Draw(t, "output"),
+		InterTokenLatency: time.Duration(rapid.IntRange(0, 120).Draw(t, "between")) * time.Millisecond,
 	}
 	h.sched.Finish(h.now, c)
 	h.naive.finish(h.now, c)
 }
 
 func (h *history) report(t *rapid.T) {
-	r := Report{
+	r := LoadReport{
 		Server:  rapid.SampledFrom(h.cfg.Servers).Draw(t, "server").Name,
 		Running: rapid.IntRange(0, 5).Draw(t, "running"),
 		Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
--- a/pkg/scheduler/dispatch.go
+++ b/pkg/scheduler/dispatch.go
@@ -77,7 +77,7 @@
 		if best != nil && best.Tier < c.Tier {
 			continue
 		}
-		if !s.mayUseHeadroom(c) && free.within(c.allowed) <= s.cfg.Headroom {
+		if !s.mayUseHeadroom(c) && free.within(c.allowed) <= s.cfg.HeadroomSlots {
 			continue
 		}
 		if best == nil || sooner(c, best) {
@@ -91,7 +91,7 @@
 }
 
 func (s *Scheduler) owed(c *class) bool {
-	return !s.cfg.Policy.NoFloor && c.Floor > 0 && s.owedStarts(c) >= 1
+	return !s.cfg.Ablations.NoFloor && c.Floor > 0 && s.owedStarts(c) >= 1
 }
 
 // owedStarts is the class's credit in starts of its own usual size.
@@ -119,7 +119,7 @@
 
 // mayUseHeadroom holds for the highest tier, or where there is no headroom.
 func (s *Scheduler) mayUseHeadroom(c *class) bool {
-	return s.cfg.Headroom == 0 || s.cfg.Policy.NoHeadroom || c.Tier == s.classes[0].Tier
+	return s.cfg.HeadroomSlots == 0 || s.cfg.Ablations.NoHeadroom || c.Tier == s.classes[0].Tier
 }
 
 // sooner compares classes of one tier by when their next request misses its
@@ -134,7 +134,7 @@
 
 func (c *class) nextTarget() time.Time {
 	f, _ := c.serve.min()
-	return f.head().Arrival.Add(c.FirstToken)
+	return f.head().Arrival.Add(c.FirstTokenTarget)
 }
 
 // maxCredit bounds what a class can be owed, in starts, so that a class that could
@@ -168,7 +168,7 @@
 	c.serve.fix(r.flow)
 	s.hold(now, r)
 	s.unstarted = append(s.unstarted, r)
-	s.prefixes.sent(r.Prefix, sv.Name)
+	s.prefixes.sent(r.PrefixHashes, sv.Name)
 	s.out.Grants = append(s.out.Grants, Grant{ID: r.ID, Server: sv.Name, Waited: now.Sub(r.Arrival)})
 }
 
@@ -225,7 +225,7 @@
 // cached prefix unless that server is loaded beyond its peers, else the least
 // loaded, counted by own grants.
 func (s *Scheduler) chooseServer(r *request, set serverSet) *server {
-	set = s.without(set, r.Avoid)
+	set = s.without(set, r.AvoidServers)
 	var best *server
 	var bestLoad, sum float64
 	for _, sv := range s.servers {
@@ -238,10 +238,10 @@
 			best, bestLoad = sv, load
 		}
 	}
-	if s.cfg.Policy.NoPrefix {
+	if s.cfg.Ablations.NoPrefix {
 		return best
 	}
-	near := s.index[s.prefixes.longest(r.Prefix)]
+	near := s.index[s.prefixes.longest(r.PrefixHashes)]
 	if near == nil || !set.has(near.index) {
 		return best
 	}
--- a/pkg/scheduler/naive_test.go
+++ b/pkg/scheduler/naive_test.go
@@ -156,7 +156,7 @@
 		n.counters[key] = math.Max(n.counters[key], n.minCounter(q.Class))
 	}
 	n.waiting = append(n.waiting, &naiveRequest{Request: q})
-	if n.beyond(c) > 0 && n.allBeyond() > n.cfg.Queue {
+	if n.beyond(c) > 0 && n.allBeyond() > n.cfg.QueueLimit {
 		v := n.victim()
 		n.drop(v)
 		n.refuse(v.Request, ReasonQueueFull)
@@ -209,7 +209,7 @@
 		if c.Tier != lowest || n.beyond(*c) == 0 {
 			continue
 		}
-		if worst == nil || len(n.of(c.Name, ""))-c.Places > len(n.of(worst.Name, ""))-worst.Places {
+		if worst == nil || len(n.of(c.Name, ""))-c.GuaranteedPlaces > len(n.of(worst.Name, ""))-worst.GuaranteedPlaces {
 			worst = c
 		}
 	}
@@ -288,11 +288,11 @@
 func (n *naive) observe(now time.Time, r *naiveRequest, c Completion) {
 	var target time.Duration
 	for _, k := range n.classes {
-		if k.Between > 0 && n.allows(k, r.server) && (target == 0 || k.Between < target) {
-			target = k.Between
+		if k.InterTokenTarget > 0 && n.allows(k, r.server) && (target == 0 || k.InterTokenTarget < target) {
+			target = k.InterTokenTarget
 		}
 	}
-	r.server.observe(now, r.grantedAt, c.Between, target, true)
+	r.server.observe(now, r.grantedAt, c.InterTokenLatency, target, true)
 }
 
 func (n *naive) tick(now time.Time) {
@@ -313,7 +313,7 @@
 		n.refuse(first.Request, ReasonDeadline)
 	}
 	for _, r := range slices.Clone(n.granted) {
-		if !r.started && now.Sub(r.grantedAt) >= StartWithin {
+		if !r.started && now.Sub(r.grantedAt) >= StartTimeout {
 			n.release(r)
 		}
 	}
@@ -344,7 +344,7 @@
 		s.notePeak(now)
 		n.org(r.Organisation).running++
 		n.granted = append(n.granted, r)
-		for _, h := range r.Prefix {
+		for _, h := range r.PrefixHashes {
 			n.prefix[h] = s.Name
 		}
 		n.out.Grants = append(n.out.Grants, Grant{ID: r.ID, Server: s.Name, Waited: now.Sub(r.Arrival)})
@@ -387,7 +387,7 @@
 		if n.owed(c.Name) >= 1 && (due == nil || n.owed(c.Name) > n.owed(due.Name)) {
 			due = c
 		}
-		if c.Tier > n.classes[0].Tier && free <= n.cfg.Headroom && n.cfg.Headroom > 0 {
+		if c.Tier > n.classes[0].Tier && free <= n.cfg.HeadroomSlots && n.cfg.HeadroomSlots > 0 {
 			continue
 		}
 		if best == nil || (c.Tier == best.Tier && n.target(c).Before(n.target(best))) {
@@ -401,7 +401,7 @@
 }
 
 func (n *naive) target(c *Class) time.Time {
-	return n.nextRequest(c.Name).Arrival.Add(c.FirstToken)
+	return n.nextRequest(c.Name).Arrival.Add(c.FirstTokenTarget)
 }
 
 func (n *naive) nextRequest(class string) *naiveRequest {
@@ -421,7 +421,7 @@
 			free = append(free, s)
 		}
 	}
-	kept := slices.DeleteFunc(slices.Clone(free), func(s *server) bool { return slices.Contains(r.Avoid, s.Name) })
+	kept := slices.DeleteFunc(slices.Clone(free), func(s *server) bool { return slices.Contains(r.AvoidServers, s.Name) })
 	if len(kept) > 0 {
 		free = kept
 	}
@@ -435,8 +435,8 @@
 			best = s
 		}
 	}
-	for i := len(r.Prefix) - 1; i >= 0; i-- {
-		name, ok := n.prefix[r.Prefix[i]]
+	for i := len(r.PrefixHashes) - 1; i >= 0; i-- {
+		name, ok := n.prefix[r.PrefixHashes[i]]
 		if !ok {
 			continue
 		}
--- a/pkg/scheduler/organisation.go
+++ b/pkg/scheduler/organisation.go
@@ -28,8 +28,8 @@
 
 func (o *organisation) setLimits(l Limits) {
 	if o.limits != l || o.requests == nil {
-		o.requests = newLimiter(l.Requests)
-		o.tokens = newLimiter(l.Tokens)
+		o.requests = newLimiter(l.RequestsPerSecond)
+		o.tokens = newLimiter(l.TokensPerSecond)
 	}
 	o.limits = l
 }
--- a/pkg/scheduler/promises_test.go
+++ b/pkg/scheduler/promises_test.go
@@ -93,7 +93,7 @@
 			ids = append(ids, id)
 			o.asked(id, c)
 			s.Reserve(now, Request{ID: id, Class: c.Name, Organisation: fmt.Sprint("o", len(ids)%3), Arrival: now})
-			o.answered(t, cfg, id, s.Take())
+			o.answered(t, cfg, id, s.TakeDecisions())
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": reserve,
@@ -110,19 +110,19 @@
 				if o.running[id] {
 					delete(o.running, id)
 					s.Finish(now, Completion{ID: id, Result: ResultDone, OutputTokens: 10})
-					o.answered(t, cfg, ID{}, s.Take())
+					o.answered(t, cfg, ID{}, s.TakeDecisions())
 				}
 			},
 			"new owner": func(t *rapid.T) {
 				// Killed, or frozen and passed over: what counts is held by the boxes.
 				s = New(cfg, 1)
-				s.Settle(now)
+				s.BeginRecovery(now)
 				waiting, running := o.held(now)
 				s.Sync(now, "b", waiting, running)
 				if rapid.Bool().Draw(t, "settled") {
-					s.Settled(now)
+					s.EndRecovery(now)
 				}
-				o.answered(t, cfg, ID{}, s.Take())
+				o.answered(t, cfg, ID{}, s.TakeDecisions())
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
@@ -130,7 +130,7 @@
 					s.Start(id)
 				}
 				s.Tick(now)
-				o.answered(t, cfg, ID{}, s.Take())
+				o.answered(t, cfg, ID{}, s.TakeDecisions())
 			},
 		})
 	})
@@ -165,7 +165,7 @@
 }
 
 func (f *flood) take() {
-	d := f.s.Take()
+	d := f.s.TakeDecisions()
 	for _, g := range d.Grants {
 		f.class[g.ID] = f.waiting[g.ID].Class
 		f.starts = append(f.starts, f.class[g.ID])
@@ -281,7 +281,7 @@
 // changeOwner starts a scheduler afresh from what the entry box holds.
 func (f *flood) changeOwner() {
 	f.s = New(f.cfg, 1)
-	f.s.Settle(f.now)
+	f.s.BeginRecovery(f.now)
 	var waiting []Request
 	for _, r := range f.waiting {
 		waiting = append(waiting, r)
@@ -291,6 +291,6 @@
 		running = append(running, RunningRequest{Request: Request{ID: id, Class: "counter", Organisation: "o"}, Server: "s1"})
 	}
 	f.s.Sync(f.now, "b", waiting, running)
-	f.s.Settled(f.now)
+	f.s.EndRecovery(f.now)
 	f.take()
 }
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// StartWithin is how long a grant may stay unused before its slot is taken
+	// StartTimeout is how long a grant may stay unused before its slot is taken
 	// back.
-	StartWithin = 2 * time.Second
-	// SettleFor bounds how long a new owner waits for entry boxes to register.
-	SettleFor = time.Second
+	StartTimeout = 2 * time.Second
+	// RecoveryTimeout bounds how long a new owner waits for entry boxes to register.
+	RecoveryTimeout = time.Second
 	// housekeeping is how often idle accounts are dropped.
 	housekeeping = 10 * time.Second
 	// idleOrganisation is how long an account without work is kept.
@@ -104,7 +104,7 @@
 	for _, cc := range classes {
 		c := s.byName[cc.Name]
 		if c == nil {
-			c = newClass(cc, !s.cfg.Policy.NoFairness)
+			c = newClass(cc, !s.cfg.Ablations.NoFairness)
 		}
 		c.Class = cc
 		c.allowed = s.allowedServers(cc.Servers)
@@ -143,16 +143,16 @@
 	return s.cfg.Limits(organisation)
 }
 
-// Settle starts a new owner's settling time: until Settled is called or
-// SettleFor has passed, a server is granted only up to what its own report and
-// the registrations leave free.
-func (s *Scheduler) Settle(now time.Time) {
+// BeginRecovery starts the recovery of a new shard owner. Until EndRecovery is called
+// or RecoveryTimeout has passed, requests are granted only to servers that have reported
+// their load, and only up to the capacity that the reports and registrations leave free.
+func (s *Scheduler) BeginRecovery(now time.Time) {
 	s.settling = true
-	s.settleEnd = now.Add(SettleFor)
+	s.settleEnd = now.Add(RecoveryTimeout)
 }
 
-// Settled ends the settling time: every live entry box has registered.
-func (s *Scheduler) Settled(now time.Time) {
+// EndRecovery ends the recovery early, once every live entry box has registered.
+func (s *Scheduler) EndRecovery(now time.Time) {
 	s.endSettling(now)
 	s.dispatch(now)
 }
@@ -173,8 +173,8 @@
 	}
 }
 
-// Settling tells whether the scheduler is still in its settling time.
-func (s *Scheduler) Settling() bool { return s.settling }
+// Recovering reports whether the recovery is still in progress.
+func (s *Scheduler) Recovering() bool { return s.settling }
 
 // Reserve asks for a slot. Exactly one grant or refusal answers it, unless it is
 // cancelled first. Reserving a known ID again has no effect.
@@ -265,26 +265,26 @@
 
 func (s *Scheduler) observe(now time.Time, r *request, c Completion) {
 	target := s.strictestBetween(r.server)
-	adapt := !s.cfg.Policy.NoAdaptiveLimit
-	r.server.observe(now, r.grantedAt, c.Between, target, adapt)
+	adapt := !s.cfg.Ablations.NoAdaptiveLimit
+	r.server.observe(now, r.grantedAt, c.InterTokenLatency, target, adapt)
 }
 
 // strictestBetween is the tightest target among the classes that may use sv.
 func (s *Scheduler) strictestBetween(sv *server) time.Duration {
 	var least time.Duration
 	for _, c := range s.classes {
-		if c.Between <= 0 || !c.allowed.has(sv.index) {
+		if c.InterTokenTarget <= 0 || !c.allowed.has(sv.index) {
 			continue
 		}
-		if least == 0 || c.Between < least {
-			least = c.Between
+		if least == 0 || c.InterTokenTarget < least {
+			least = c.InterTokenTarget
 		}
 	}
 	return least
 }
 
 // Report takes a server's load report in.
-func (s *Scheduler) Report(now time.Time, r Report) {
+func (s *Scheduler) Report(now time.Time, r LoadReport) {
 	sv := s.index[r.Server]
 	if sv == nil {
 		return
@@ -323,7 +323,7 @@
 	for len(s.unstarted) > 0 {
 		r := s.unstarted[0]
 		live := s.granted[r.ID] == r
-		if live && !r.started && now.Sub(r.grantedAt) < StartWithin {
+		if live && !r.started && now.Sub(r.grantedAt) < StartTimeout {
 			return
 		}
 		s.unstarted[0] = nil
@@ -359,8 +359,8 @@
 	return false
 }
 
-// Take returns the decisions since the last Take.
-func (s *Scheduler) Take() Decisions {
+// TakeDecisions returns the decisions since the last TakeDecisions.
+func (s *Scheduler) TakeDecisions() Decisions {
 	d := s.out
 	s.out = Decisions{}
 	return d
@@ -373,15 +373,15 @@
 		st.Waiting[c.Name] = c.waiting
 	}
 	for _, sv := range s.servers {
-		st.Free += sv.free(now, s.settling)
+		st.FreeSlots += sv.free(now, s.settling)
 		st.Servers = append(st.Servers, ServerStats{
-			Name:    sv.Name,
-			Limit:   int(sv.limit),
-			Granted: sv.granted,
-			Foreign: sv.foreign,
-			Leaving: sv.Leaving || sv.leaving,
-			Down:    sv.down || now.Before(sv.trippedUntil),
-			Between: sv.between,
+			Name:              sv.Name,
+			Limit:             int(sv.limit),
+			Granted:           sv.granted,
+			ExternalRunning:   sv.foreign,
+			Leaving:           sv.Leaving || sv.leaving,
+			Down:              sv.down || now.Before(sv.trippedUntil),
+			InterTokenLatency: sv.between,
 		})
 	}
 	return st
--- a/pkg/scheduler/server.go
+++ b/pkg/scheduler/server.go
@@ -77,7 +77,7 @@
 
 // report takes a lagging load report in. Only what exceeds every recent count
 // of our own grants can be somebody else's.
-func (s *server) report(now time.Time, r Report, settling bool) {
+func (s *server) report(now time.Time, r LoadReport, settling bool) {
 	s.notePeak(now)
 	ours := max(s.peak, s.lastPeak)
 	if settling {
--- a/pkg/scheduler/types.go
+++ b/pkg/scheduler/types.go
@@ -19,13 +19,13 @@
 	// FloorPlaces are queue places on top of the shard's bound that only this
 	// class may use.
 	FloorPlaces int
-	// Places is the guaranteed part of the shared queue; beyond it the class
+	// GuaranteedPlaces is the guaranteed part of the shared queue; beyond it the class
 	// borrows and is shed first within its tier.
-	Places int
-	// FirstToken and Between are the latency targets: time to the first token,
+	GuaranteedPlaces int
+	// FirstTokenTarget and InterTokenTarget are the latency targets: time to first token
 	// and mean time between tokens. Zero means no target.
-	FirstToken time.Duration
-	Between    time.Duration
+	FirstTokenTarget time.Duration
+	InterTokenTarget time.Duration
 	// Servers lists the backend servers the class may use; empty means all.
 	Servers []string
 }
@@ -43,9 +43,9 @@
 type Limits struct {
 	// Weight is the organisation's share relative to others; 0 counts as 1.
 	Weight float64
-	// Requests and Tokens are rates a second.
-	Requests float64
-	Tokens   float64
+	// RequestsPerSecond and TokensPerSecond are rate limits.
+	RequestsPerSecond float64
+	TokensPerSecond   float64
 	// Concurrency bounds requests running at a time.
 	Concurrency int
 }
@@ -56,16 +56,16 @@
 	Servers []Server
 	// Limits returns an organisation's limits; nil means none has any.
 	Limits func(organisation string) Limits
-	// Queue bounds the waiting requests of all classes beyond their floor places.
-	Queue int
-	// Headroom is the number of free slots that only the highest tier may take.
-	Headroom int
-	// Policy switches mechanisms off for measurement; the zero value has all on.
-	Policy Policy
+	// QueueLimit bounds the waiting requests of all classes beyond their floor places.
+	QueueLimit int
+	// HeadroomSlots is the number of free slots that only the highest tier may take.
+	HeadroomSlots int
+	// Ablations switches mechanisms off for measurement; the zero value has all on.
+	Ablations Ablations
 }
 
-// Policy switches single mechanisms off. Only measurements set it.
-type Policy struct {
+// Ablations switches single mechanisms off. Only measurements set it.
+type Ablations struct {
 	NoFloor         bool
 	NoFairness      bool
 	NoPrefix        bool
@@ -85,11 +85,11 @@
 	Arrival time.Time
 	// Deadline is when waiting has no more use; zero means none.
 	Deadline time.Time
-	// Prefix holds hashes of ever longer prefixes of the prompt.
-	Prefix []uint64
-	// Avoid names servers that failed this request before. They are taken only
+	// PrefixHashes holds hashes of ever longer prefixes of the prompt.
+	PrefixHashes []uint64
+	// AvoidServers names servers that failed this request before. They are taken only
 	// when no other is free.
-	Avoid []string
+	AvoidServers []string
 }
 
 // Grant says that a request may start on a server now.
@@ -157,14 +157,14 @@
 	Result       Result
 	PromptTokens int
 	OutputTokens int
-	// FirstToken is the time from dispatch to the first token.
-	FirstToken time.Duration
-	// Between is the mean time between tokens; zero when unknown.
-	Between time.Duration
+	// TimeToFirstToken is the time from dispatch to the first token.
+	TimeToFirstToken time.Duration
+	// InterTokenLatency is the mean time between tokens; zero when unknown.
+	InterTokenLatency time.Duration
 }
 
-// Report is a server's own account of its load. It lags.
-type Report struct {
+// LoadReport is a server's own account of its load. It lags.
+type LoadReport struct {
 	Server  string
 	Running int
 	Leaving bool
@@ -179,20 +179,20 @@
 
 // Stats describes the shard at one moment.
 type Stats struct {
-	Waiting map[string]int
-	Running int
-	Free    int
-	Servers []ServerStats
+	Waiting   map[string]int
+	Running   int
+	FreeSlots int
+	Servers   []ServerStats
 }
 
 // ServerStats describes one server at one moment.
 type ServerStats struct {
-	Name    string
-	Limit   int
-	Granted int
-	Foreign int
-	Leaving bool
-	Down    bool
-	// Between is the smoothed time between tokens.
-	Between time.Duration
+	Name            string
+	Limit           int
+	Granted         int
+	ExternalRunning int
+	Leaving         bool
+	Down            bool
+	// InterTokenLatency is the smoothed time between tokens.
+	InterTokenLatency time.Duration
 }
--- a/pkg/shard/convert.go
+++ b/pkg/shard/convert.go
@@ -14,9 +14,9 @@
 func schedulerConfig(st *config.State, sh config.Shard, v *membership.View) scheduler.Config {
 	svc, _ := st.Service(sh.Service)
 	cfg := scheduler.Config{
-		Queue:    svc.Queue,
-		Headroom: svc.Headroom,
-		Limits:   func(name string) scheduler.Limits { return limitsOf(st, name) },
+		QueueLimit:    svc.Queue,
+		HeadroomSlots: svc.Headroom,
+		Limits:        func(name string) scheduler.Limits { return limitsOf(st, name) },
 	}
 	share := minorityShare(v)
 	for _, name := range sh.Servers {
@@ -35,14 +35,14 @@
 
 func classOf(st *config.State, sh config.Shard, c config.Class) scheduler.Class {
 	return scheduler.Class{
-		Name:        c.Name,
-		Tier:        c.Tier,
-		Floor:       c.Floor,
-		FloorPlaces: c.FloorPlaces,
-		Places:      c.Places,
-		FirstToken:  c.FirstToken,
-		Between:     c.Between,
-		Servers:     serversFor(st, sh.Service, c.Servers),
+		Name:             c.Name,
+		Tier:             c.Tier,
+		Floor:            c.Floor,
+		FloorPlaces:      c.FloorPlaces,
+		GuaranteedPlaces: c.Places,
+		FirstTokenTarget: c.FirstToken,
+		InterTokenTarget: c.Between,
+		Servers:          serversFor(st, sh.Service, c.Servers),
 	}
 }
 
@@ -61,10 +61,10 @@
 func limitsOf(st *config.State, name string) scheduler.Limits {
 	o, _ := st.Organisation(name)
 	return scheduler.Limits{
-		Weight:      o.Weight,
-		Requests:    o.Requests,
-		Tokens:      o.Tokens,
-		Concurrency: o.Concurrency,
+		Weight:            o.Weight,
+		RequestsPerSecond: o.Requests,
+		TokensPerSecond:   o.Tokens,
+		Concurrency:       o.Concurrency,
 	}
 }
 
@@ -87,8 +87,8 @@
 		Organisation: m.GetOrganisation(),
 		PromptTokens: int(m.GetPromptTokens()),
 		Arrival:      now.Add(-time.Duration(max(0, m.GetWaitedNanos()))),
-		Prefix:       m.GetPrefix(),
-		Avoid:        m.GetAvoid(),
+		PrefixHashes: m.GetPrefix(),
+		AvoidServers: m.GetAvoid(),
 	}
 	if m.GetRemainingNanos() > 0 {
 		r.Deadline = now.Add(time.Duration(m.GetRemainingNanos()))
@@ -98,11 +98,11 @@
 
 func completionOf(box string, m *peerpb.Finish) scheduler.Completion {
 	return scheduler.Completion{
-		ID:           scheduler.ID{Box: box, Seq: m.GetSeq()},
-		Result:       scheduler.Result(m.GetResult()),
-		PromptTokens: int(m.GetPromptTokens()),
-		OutputTokens: int(m.GetOutputTokens()),
-		FirstToken:   time.Duration(m.GetFirstTokenNanos()),
-		Between:      time.Duration(m.GetBetweenNanos()),
+		ID:                scheduler.ID{Box: box, Seq: m.GetSeq()},
+		Result:            scheduler.Result(m.GetResult()),
+		PromptTokens:      int(m.GetPromptTokens()),
+		OutputTokens:      int(m.GetOutputTokens()),
+		TimeToFirstToken:  time.Duration(m.GetFirstTokenNanos()),
+		InterTokenLatency: time.Duration(m.GetBetweenNanos()),
 	}
 }
--- a/pkg/shard/owned.go
+++ b/pkg/shard/owned.go
@@ -44,7 +44,7 @@
 		registered: make(map[string]bool),
 		broken:     make(map[string]time.Time),
 	}
-	o.sched.Settle(now)
+	o.sched.BeginRecovery(now)
 	return o
 }
 
@@ -75,7 +75,7 @@
 		return scheduler.Decisions{}
 	}
 	f(o.sched)
-	return o.sched.Take()
+	return o.sched.TakeDecisions()
 }
 
 // up feeds a message of a box to the scheduler.
@@ -115,8 +115,8 @@
 	}
 	o.sched.Sync(now, box, waiting, running)
 	o.registered[c.Box] = true
-	if o.sched.Settling() && o.allRegistered(live) {
-		o.sched.Settled(now)
+	if o.sched.Recovering() && o.allRegistered(live) {
+		o.sched.EndRecovery(now)
 	}
 }
 
--- a/pkg/shard/runner.go
+++ b/pkg/shard/runner.go
@@ -25,7 +25,7 @@
 
 // Prober asks a backend server for its load.
 type Prober interface {
-	Probe(ctx context.Context, s config.Server) (scheduler.Report, error)
+	Probe(ctx context.Context, s config.Server) (scheduler.LoadReport, error)
 }
 
 // Runner runs the schedulers of the shards that this box owns.
@@ -252,7 +252,7 @@
 	rep, err := r.prober.Probe(ctx, s)
 	if err != nil {
 		level.Debug(r.logger).Log("msg", "no load report", "server", s.Name, "err", err)
-		rep = scheduler.Report{Down: true}
+		rep = scheduler.LoadReport{Down: true}
 	}
 	rep.Server = s.Name
 	r.deliver(o, o.do(func(sc *scheduler.Scheduler) { sc.Report(time.Now(), rep) }))
@@ -265,7 +265,7 @@
 		st := o.stats(now)
 		s := &peerpb.ShardStatus{
 			Shard: o.id, Epoch: o.epoch,
-			Running: uint32(st.Running), Free: uint32(st.Free),
+			Running: uint32(st.Running), Free: uint32(st.FreeSlots),
 			Waiting: make(map[string]uint32),
 		}
 		for class, n := range st.Waiting {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -99,8 +99,8 @@
 // idle reports every server as up and idle.
 type idle struct{}
 
-func (idle) Probe(_ context.Context, s config.Server) (scheduler.Report, error) {
-	return scheduler.Report{Server: s.Name}, nil
+func (idle) Probe(_ context.Context, s config.Server) (scheduler.LoadReport, error) {
+	return scheduler.LoadReport{Server: s.Name}, nil
 }
 
 const (
--- a/pkg/shard/slot.go
+++ b/pkg/shard/slot.go
@@ -37,8 +37,8 @@
 		Result:          peerpb.Result(c.Result),
 		PromptTokens:    uint32(max(0, c.PromptTokens)),
 		OutputTokens:    uint32(max(0, c.OutputTokens)),
-		FirstTokenNanos: int64(c.FirstToken),
-		BetweenNanos:    int64(c.Between),
+		FirstTokenNanos: int64(c.TimeToFirstToken),
+		BetweenNanos:    int64(c.InterTokenLatency),
 	}}})
 }
 
