--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -116,7 +116,7 @@
 
 // No history of homes that come and go, lost answers, stale reads and outages
 // gives one key to two attempts.
-func TestOneAttemptHasAKey(t *testing.T) {
+func TestKeyIsGrantedToOneAttempt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(genStep(), 1, 80).Draw(rt, "steps")
 		w := newWorld()
@@ -148,7 +148,7 @@
 
 // A home that is frozen in mid-append, and resumed after another home took the
 // key, must not give it out.
-func TestFrozenHomeResumedInMidAppend(t *testing.T) {
+func TestCoordinatorPausedMidAppendDoesNotGrantTakenKey(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	tr := &holding{next: p.Transport()}
@@ -167,7 +167,7 @@
 // A box whose home did not answer claims by itself, for the same attempt. The home may
 // have recorded that claim all the same: the other claims of the box's batch are not
 // recorded by that.
-func TestClaimThatAnotherHomeRecordedDoesNotStandForItsBatch(t *testing.T) {
+func TestClaimRecordedElsewhereDoesNotCommitItsBatch(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	home, stale, third := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
@@ -194,7 +194,7 @@
 
 // During an outage the first caller waits for the platform at most appendTimeout,
 // the following ones get their final answer at once.
-func TestOutageIsAnsweredAtOnce(t *testing.T) {
+func TestClaimsFailFastDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
@@ -217,7 +217,7 @@
 }
 
 // Many claims at once share few writes.
-func TestClaimsAreCommittedInGroups(t *testing.T) {
+func TestConcurrentClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
@@ -241,7 +241,7 @@
 }
 
 // Of many callers that send one key at once to one home, one may run.
-func TestOneOfManyAtOnce(t *testing.T) {
+func TestConcurrentClaimsOfOneKeyGrantOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
--- a/pkg/scheduler/admission_test.go
+++ b/pkg/scheduler/admission_test.go
@@ -25,7 +25,7 @@
 
 // A shard that had little to do before a burst must not judge the burst by the
 // few starts it made: they measured the demand, not what the servers can do.
-func TestBurstAfterQuietTimeIsNotRefused(t *testing.T) {
+func TestBurstAfterIdlePeriodIsNotRefused(t *testing.T) {
 	s := New(oneServer(8, 500, counterClass()), 1)
 	now := epoch
 	seq := uint64(0)
--- a/pkg/scheduler/differential_test.go
+++ b/pkg/scheduler/differential_test.go
@@ -132,7 +132,7 @@
 	h.naive.tick(h.now)
 }
 
-func TestAgreesWithNaive(t *testing.T) {
+func TestSchedulerMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := genConfig(t)
 		h := &history{sched: New(cfg, 1), naive: newNaive(cfg), cfg: cfg, now: epoch}
--- a/pkg/scheduler/promises_test.go
+++ b/pkg/scheduler/promises_test.go
@@ -82,7 +82,7 @@
 	return n
 }
 
-func TestNoHigherTierIsShedForALower(t *testing.T) {
+func TestHigherTierIsNotShedForLowerTier(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := genConfig(t)
 		s, o, now := New(cfg, 1), newOracle(), epoch
@@ -222,7 +222,7 @@
 	return n
 }
 
-func TestEveryClassGetsItsFloorUnderFlood(t *testing.T) {
+func TestEveryClassGetsItsFloorUnderOverload(t *testing.T) {
 	f := newFlood(t)
 	f.output = map[string]int{"counter": 10, "reports": 10, "batch": 10}
 	for range 6 * 60 * 100 { // six minutes
@@ -241,7 +241,7 @@
 
 // A floor is a share of the work: a class of long answers gets no multiple of it,
 // and no less than it.
-func TestFloorIsAShareOfTheWork(t *testing.T) {
+func TestFloorIsAShareOfOutputTokens(t *testing.T) {
 	f := newFlood(t)
 	f.output = map[string]int{"counter": 20, "reports": 20, "batch": 400}
 	for range 6 * 60 * 100 {
@@ -261,7 +261,7 @@
 }
 
 // Work that waits must not lose its claim to the floor with each new owner.
-func TestNoStarvationWhenTheOwnerKeepsChanging(t *testing.T) {
+func TestNoStarvationUnderFrequentOwnerChanges(t *testing.T) {
 	f := newFlood(t)
 	var longest time.Duration
 	for i := range 5 * 60 * 100 {
