--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -17,215 +17,215 @@
 	standin "headhill.example/headhill/pkg/standin/objectstore"
 )
 
-// step is one step of a history of claims.
+// step is one randomly generated operation on a cluster.
 type step struct {
-	Kind   string
-	Home   int
-	Key    int
-	Faults standin.Faults
+	Kind        string
+	Coordinator int
+	Key         int
+	Faults      standin.Faults
 }
 
 func genStep() *rapid.Generator[step] {
 	return rapid.Custom(func(t *rapid.T) step {
 		return step{
-			Kind: rapid.SampledFrom([]string{"claim", "claim", "claim", "again", "done", "free", "restart", "faults", "heal"}).Draw(t, "kind"),
-			Home: rapid.IntRange(0, 2).Draw(t, "home"),
-			Key:  rapid.IntRange(0, 3).Draw(t, "key"),
+			Kind:        rapid.SampledFrom([]string{"claim", "claim", "claim", "retry", "complete", "release", "restart", "faults", "heal"}).Draw(t, "kind"),
+			Coordinator: rapid.IntRange(0, 2).Draw(t, "coordinator"),
+			Key:         rapid.IntRange(0, 3).Draw(t, "key"),
 			Faults: standin.Faults{
 				Down:       rapid.IntRange(0, 5).Draw(t, "down") == 0,
 				Stale:      rapid.IntRange(0, 3).Draw(t, "stale") == 0,
-				LoseWrites: rapid.IntRange(0, 2).Draw(t, "lose"),
+				LoseWrites: rapid.IntRange(0, 2).Draw(t, "lose writes"),
 			},
 		}
 	})
 }
 
-// world is a few homes of one claim shard, as after views of the membership that
-// differ, and what callers were told.
-type world struct {
-	platform *standin.Server
-	homes    []*Coordinator
-	n        int
-	// last is the last attempt for a key, holder the one that was told Granted
-	// and has not freed the key.
-	last    map[int]string
-	holder  map[int]string
-	done    map[int]bool
-	problem string
+// cluster is a claim shard with several coordinators, as when boxes disagree about the
+// membership, and the results that its callers received.
+type cluster struct {
+	platform     *standin.Server
+	coordinators []*Coordinator
+	attempts     int
+	// lastAttempt is the latest attempt for each key.
+	lastAttempt map[int]string
+	// holder is the attempt that was granted each key and has not released it.
+	holder    map[int]string
+	done      map[int]bool
+	violation string
 }
 
-func newWorld() *world {
-	w := &world{platform: standin.New(), last: map[int]string{}, holder: map[int]string{}, done: map[int]bool{}}
+func newCluster() *cluster {
+	c := &cluster{platform: standin.New(), lastAttempt: map[int]string{}, holder: map[int]string{}, done: map[int]bool{}}
 	for range 3 {
-		w.homes = append(w.homes, w.newHome())
+		c.coordinators = append(c.coordinators, c.newCoordinator())
 	}
-	return w
+	return c
 }
 
-func (w *world) newHome() *Coordinator {
-	return NewCoordinator(w.platform.Client(), "p", 0, log.NewNopLogger())
+func (c *cluster) newCoordinator() *Coordinator {
+	return NewCoordinator(c.platform.Client(), "p", 0, log.NewNopLogger())
 }
 
-func key(n int) Key { return KeyOf("o", fmt.Sprint("key", n)) }
+func testKey(n int) Key { return KeyOf("o", fmt.Sprint("key", n)) }
 
-func (w *world) do(s step) {
+func (c *cluster) apply(s step) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	h := w.homes[s.Home]
+	coord := c.coordinators[s.Coordinator]
 	switch s.Kind {
 	case "claim":
-		w.n++
-		w.last[s.Key] = fmt.Sprint("attempt", w.n)
-		w.claim(ctx, h, s.Key, w.last[s.Key])
-	case "again":
-		// The same attempt asks another home, as when an answer was lost.
-		if w.last[s.Key] != "" {
-			w.claim(ctx, h, s.Key, w.last[s.Key])
+		c.attempts++
+		c.lastAttempt[s.Key] = fmt.Sprint("attempt", c.attempts)
+		c.claim(ctx, coord, s.Key, c.lastAttempt[s.Key])
+	case "retry":
+		// Claims again for the same attempt, as after a lost answer.
+		if c.lastAttempt[s.Key] != "" {
+			c.claim(ctx, coord, s.Key, c.lastAttempt[s.Key])
 		}
-	case "done":
-		if a := w.holder[s.Key]; a != "" && h.End(ctx, key(s.Key), a, false) == nil {
-			w.done[s.Key] = true
+	case "complete":
+		if a := c.holder[s.Key]; a != "" && coord.End(ctx, testKey(s.Key), a, false) == nil {
+			c.done[s.Key] = true
 		}
-	case "free":
-		if a := w.holder[s.Key]; a != "" && !w.done[s.Key] {
-			// Whoever frees an attempt's key never uses the attempt again, whether
-			// the answer arrives or not.
-			_ = h.End(ctx, key(s.Key), a, true)
-			delete(w.holder, s.Key)
-			delete(w.last, s.Key)
+	case "release":
+		if a := c.holder[s.Key]; a != "" && !c.done[s.Key] {
+			// A caller never reuses an attempt after trying to release its key, even if
+			// the release failed.
+			_ = coord.End(ctx, testKey(s.Key), a, true)
+			delete(c.holder, s.Key)
+			delete(c.lastAttempt, s.Key)
 		}
 	case "restart":
-		w.homes[s.Home] = w.newHome()
+		c.coordinators[s.Coordinator] = c.newCoordinator()
 	case "faults":
-		w.platform.SetFaults(s.Faults)
+		c.platform.SetFaults(s.Faults)
 	case "heal":
-		w.platform.SetFaults(standin.Faults{})
+		c.platform.SetFaults(standin.Faults{})
 	}
 }
 
-func (w *world) claim(ctx context.Context, h *Coordinator, k int, attempt string) {
-	r, err := h.Claim(ctx, key(k), attempt)
+func (c *cluster) claim(ctx context.Context, coord *Coordinator, k int, attempt string) {
+	r, err := coord.Claim(ctx, testKey(k), attempt)
 	if err != nil || r.State != Granted {
 		return
 	}
-	if other := w.holder[k]; other != "" && other != attempt {
-		w.problem = fmt.Sprintf("key %d was given to %s while %s has it", k, attempt, other)
+	if other := c.holder[k]; other != "" && other != attempt {
+		c.violation = fmt.Sprintf("key %d was granted to %s while %s holds it", k, attempt, other)
 	}
-	w.holder[k] = attempt
+	c.holder[k] = attempt
 }
 
-// No history of homes that come and go, lost answers, stale reads and outages
-// gives one key to two attempts.
+// Checks that a key is never granted to two attempts, in spite of coordinator restarts,
+// lost answers, stale reads and outages.
 func TestKeyIsGrantedToOneAttempt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(genStep(), 1, 80).Draw(rt, "steps")
-		w := newWorld()
+		c := newCluster()
 		synctest.Test(t, func(*testing.T) {
 			for _, s := range steps {
-				w.do(s)
+				c.apply(s)
 			}
-			// Whatever a home has under way ends within its bound.
+			// Wait for operations in flight, which end within their timeouts.
 			time.Sleep(10 * time.Second)
 		})
-		require.Empty(rt, w.problem)
+		require.Empty(rt, c.violation)
 	})
 }
 
-// holding is a transport that holds one write back until told.
-type holding struct {
-	next http.RoundTripper
-	hold func()
+// interceptTransport calls beforePut before it sends the next PUT request.
+type interceptTransport struct {
+	next      http.RoundTripper
+	beforePut func()
 }
 
-func (h *holding) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.Method == http.MethodPut && h.hold != nil {
-		hold := h.hold
-		h.hold = nil
-		hold()
+func (t *interceptTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.Method == http.MethodPut && t.beforePut != nil {
+		beforePut := t.beforePut
+		t.beforePut = nil
+		beforePut()
 	}
-	return h.next.RoundTrip(r)
+	return t.next.RoundTrip(r)
 }
 
-// A home that is frozen in mid-append, and resumed after another home took the
-// key, must not give it out.
+// A coordinator that is paused before its write reaches the platform must not grant a
+// key that another coordinator has granted meanwhile.
 func TestCoordinatorPausedMidAppendDoesNotGrantTakenKey(t *testing.T) {
 	ctx := t.Context()
-	p := standin.New()
-	tr := &holding{next: p.Transport()}
-	frozen := NewCoordinator(objectstore.NewClientOver(tr, "http://platform", "", callrate.Default), "p", 0, log.NewNopLogger())
-	other := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
-	tr.hold = func() {
-		r, err := other.Claim(ctx, key(1), "other")
+	platform := standin.New()
+	tr := &interceptTransport{next: platform.Transport()}
+	paused := NewCoordinator(objectstore.NewClientOver(tr, "http://platform", "", callrate.Default), "p", 0, log.NewNopLogger())
+	other := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
+	tr.beforePut = func() {
+		r, err := other.Claim(ctx, testKey(1), "other")
 		require.NoError(t, err)
 		require.Equal(t, Granted, r.State)
 	}
-	r, err := frozen.Claim(ctx, key(1), "frozen")
+	r, err := paused.Claim(ctx, testKey(1), "paused")
 	require.NoError(t, err)
 	require.Equal(t, Taken, r.State)
 }
 
-// A box whose home did not answer claims by itself, for the same attempt. The home may
-// have recorded that claim all the same: the other claims of the box's batch are not
-// recorded by that.
+// A box records a claim itself if the shard's owner does not respond, although the owner
+// may have recorded it. A conflict with that record must not be mistaken for a successful
+// append of the whole batch.
 func TestClaimRecordedElsewhereDoesNotCommitItsBatch(t *testing.T) {
 	ctx := t.Context()
-	p := standin.New()
-	home, stale, third := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
-	_, err := stale.Claim(ctx, key(9), "loads the log")
+	platform := standin.New()
+	first, stale, third := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger()), NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
+	_, err := stale.Claim(ctx, testKey(9), "load the log")
 	require.NoError(t, err)
-	r, err := home.Claim(ctx, key(1), "first")
+	r, err := first.Claim(ctx, testKey(1), "first")
 	require.NoError(t, err)
 	require.Equal(t, Granted, r.State)
 
 	claim := func(k Key, attempt string) *operation {
 		return &operation{ctx: ctx, rec: record{Op: opClaim, Key: k, Attempt: attempt, At: time.Now()}, done: make(chan operationResult, 1)}
 	}
-	batch := []*operation{claim(key(1), "first"), claim(key(2), "second")}
-	require.NoError(t, stale.append(batch))
+	batch := []*operation{claim(testKey(1), "first"), claim(testKey(2), "second")}
+	require.NoError(t, stale.appendBatch(batch))
 	for _, op := range batch {
-		got := <-op.done
-		require.NoError(t, got.err)
-		require.Equal(t, Granted, got.State)
+		result := <-op.done
+		require.NoError(t, result.err)
+		require.Equal(t, Granted, result.State)
 	}
-	r, err = third.Claim(ctx, key(2), "third")
+	r, err = third.Claim(ctx, testKey(2), "third")
 	require.NoError(t, err)
-	require.Equal(t, Taken, r.State, "the second attempt has it and may run")
+	require.Equal(t, Taken, r.State, "the second attempt already holds the key")
 }
 
-// During an outage the first caller waits for the platform at most appendTimeout,
-// the following ones get their final answer at once.
+// During an outage the first claim fails within appendTimeout and the following ones
+// fail immediately.
 func TestClaimsFailFastDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := standin.New()
-		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
-		p.SetFaults(standin.Faults{Down: true})
-		began := time.Now()
-		_, err := h.Claim(t.Context(), key(1), "a")
+		platform := standin.New()
+		c := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
+		platform.SetFaults(standin.Faults{Down: true})
+		start := time.Now()
+		_, err := c.Claim(t.Context(), testKey(1), "a")
 		var unavailable *UnavailableError
 		require.ErrorAs(t, err, &unavailable)
-		require.LessOrEqual(t, time.Since(began), appendTimeout)
-		began = time.Now()
-		_, err = h.Claim(t.Context(), key(2), "b")
+		require.LessOrEqual(t, time.Since(start), appendTimeout)
+		start = time.Now()
+		_, err = c.Claim(t.Context(), testKey(2), "b")
 		require.ErrorAs(t, err, &unavailable)
-		require.Zero(t, time.Since(began))
-		p.SetFaults(standin.Faults{})
-		time.Sleep(pauseAfterFailure)
-		r, err := h.Claim(t.Context(), key(2), "b")
+		require.Zero(t, time.Since(start))
+		platform.SetFaults(standin.Faults{})
+		time.Sleep(failFastPeriod)
+		r, err := c.Claim(t.Context(), testKey(2), "b")
 		require.NoError(t, err)
 		require.Equal(t, Granted, r.State)
 	})
 }
 
-// Many claims at once share few writes.
+// Concurrent claims must be batched into few writes.
 func TestConcurrentClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := standin.New()
-		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
-		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
+		platform := standin.New()
+		platform.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
+		c := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
 		done := make(chan error, 100)
 		for i := range 100 {
 			go func() {
-				r, err := h.Claim(t.Context(), key(i), fmt.Sprint("a", i))
+				r, err := c.Claim(t.Context(), testKey(i), fmt.Sprint("a", i))
 				if err == nil && r.State != Granted {
 					err = fmt.Errorf("state %d", r.State)
 				}
@@ -235,24 +235,24 @@
 		for range 100 {
 			require.NoError(t, <-done)
 		}
-		calls, _ := p.Calls()
+		calls, _ := platform.Calls()
 		require.LessOrEqual(t, calls.Writes, uint64(10))
 	})
 }
 
-// Of many callers that send one key at once to one home, one may run.
+// Only one of many concurrent claims of a key at one coordinator may be granted.
 func TestConcurrentClaimsOfOneKeyGrantOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := standin.New()
-		p.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
-		h := NewCoordinator(p.Client(), "p", 0, log.NewNopLogger())
+		platform := standin.New()
+		platform.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
+		c := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
 		states := make(chan State, 50)
-		// A write under way gathers the callers into one batch.
-		go func() { _, _ = h.Claim(t.Context(), key(2), "first") }()
+		// While this write is in flight, the following claims are batched.
+		go func() { _, _ = c.Claim(t.Context(), testKey(2), "first") }()
 		synctest.Wait()
 		for i := range 50 {
 			go func() {
-				r, _ := h.Claim(t.Context(), key(1), fmt.Sprint("a", i))
+				r, _ := c.Claim(t.Context(), testKey(1), fmt.Sprint("a", i))
 				states <- r.State
 			}()
 		}
@@ -266,6 +266,7 @@
 	})
 }
 
+// Restoring arbitrary snapshot data must not panic or create entries out of nothing.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(`{"op":"claim","key":"000102030405060708090a0b0c0d0e0f","attempt":"a"}`))
 	f.Add([]byte(`{"op":"done","key":"00","attempt":""}`))
--- a/pkg/claims/client.go
+++ b/pkg/claims/client.go
@@ -17,57 +17,58 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// Peers gives a client for calls to another box.
+// Peers returns RPC clients for other boxes.
 type Peers interface {
 	Client(box string) (peerpb.PeerClient, bool)
 }
 
-// Client claims keys at their homes, wherever they are.
+// Client claims keys at the boxes that own their claim shards.
 type Client struct {
 	objects objectstore.Objects
 	prefix  string
 	tracker *membership.Tracker
 	logger  log.Logger
 
-	mu    sync.Mutex
-	peers Peers
-	homes map[int]*Coordinator
+	mu           sync.Mutex
+	peers        Peers
+	coordinators map[int]*Coordinator
 
-	abandoned atomic.Int64
+	abandonedCount atomic.Int64
 }
 
-// NewClient returns a client; Attach must be called before it is used.
+// NewClient returns a Client that claims locally until Attach is called.
 func NewClient(objects objectstore.Objects, prefix string, tracker *membership.Tracker, logger log.Logger) *Client {
-	return &Client{objects: objects, prefix: prefix, tracker: tracker, logger: logger, homes: make(map[int]*Coordinator)}
+	return &Client{objects: objects, prefix: prefix, tracker: tracker, logger: logger, coordinators: make(map[int]*Coordinator)}
 }
 
-// Attach gives the client its peers.
+// Attach sets the peers that the client forwards claims to.
 func (c *Client) Attach(p Peers) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers = p
 }
 
-// Coordinator returns this box's home of a claim shard.
+// Coordinator returns this box's coordinator of a claim shard, creating it if necessary.
 func (c *Client) Coordinator(shard int) *Coordinator {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.homes[shard]
-	if h == nil {
-		h = NewCoordinator(c.objects, c.prefix, shard, c.logger)
-		c.homes[shard] = h
+	coord := c.coordinators[shard]
+	if coord == nil {
+		coord = NewCoordinator(c.objects, c.prefix, shard, c.logger)
+		c.coordinators[shard] = coord
 	}
-	return h
+	return coord
 }
 
 const (
-	// callTimeout bounds a claim altogether, homeTimeout a call to its home.
+	// callTimeout bounds a claim, including the local attempt after a failed remote one.
 	callTimeout = 4 * time.Second
-	homeTimeout = appendTimeout + 500*time.Millisecond
+	// remoteTimeout bounds a claim at the shard's owner.
+	remoteTimeout = appendTimeout + 500*time.Millisecond
 )
 
-// remote returns the home of a shard if it is another box that can be called.
-func (c *Client) remote(shard int) (peerpb.PeerClient, string, bool) {
+// remoteOwner returns the owner of a shard if it is another box that can be called.
+func (c *Client) remoteOwner(shard int) (peerpb.PeerClient, string, bool) {
 	v := c.tracker.View()
 	owner := v.Owner(OwnerKey(shard), "")
 	if owner == "" || owner == v.Self {
@@ -82,28 +83,28 @@
 	return p, owner, ok
 }
 
-// OwnerKey names a claim shard in the rendezvous order of boxes.
+// OwnerKey returns the rendezvous hashing key that selects the owner of a claim shard.
 func OwnerKey(shard int) string { return fmt.Sprintf("claims/%02d", shard) }
 
-// Claim records an attempt's claim of a key. When the home does not answer, this
-// box records the claim itself: the log admits one claim of a key whoever writes
-// it, and the same attempt may ask any number of times.
+// Claim records an attempt's claim on a key at the shard's owner. If the owner does not
+// respond, this box records the claim itself. This is safe because the log accepts only
+// one claim per key regardless of the writer, and claims are idempotent per attempt.
 func (c *Client) Claim(ctx context.Context, k Key, attempt string) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if p, box, ok := c.remote(k.Shard()); ok {
-		r, err := claimAt(ctx, p, k, attempt)
+	if p, box, ok := c.remoteOwner(k.Shard()); ok {
+		r, err := claimRemote(ctx, p, k, attempt)
 		var unavailable *UnavailableError
 		if err == nil || errors.As(err, &unavailable) {
 			return r, err
 		}
-		level.Debug(c.logger).Log("msg", "claim home does not answer; claiming here", "home", box, "err", err)
+		level.Debug(c.logger).Log("msg", "claim shard owner did not respond; recording the claim locally", "home", box, "err", err)
 	}
 	return c.Coordinator(k.Shard()).Claim(ctx, k, attempt)
 }
 
-func claimAt(ctx context.Context, p peerpb.PeerClient, k Key, attempt string) (Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, homeTimeout)
+func claimRemote(ctx context.Context, p peerpb.PeerClient, k Key, attempt string) (Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
 	defer cancel()
 	r, err := p.Claim(ctx, &peerpb.ClaimRequest{Shard: uint32(k.Shard()), Key: k[:], Attempt: attempt})
 	if err != nil {
@@ -115,11 +116,11 @@
 	return Result{State: State(r.GetState()), Fence: r.GetFence()}, nil
 }
 
-// End records how an attempt ended.
+// End records the end of an attempt. If notRun is set, the key is released.
 func (c *Client) End(ctx context.Context, k Key, attempt string, notRun bool) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if p, _, ok := c.remote(k.Shard()); ok {
+	if p, _, ok := c.remoteOwner(k.Shard()); ok {
 		req := &peerpb.EndClaimRequest{Shard: uint32(k.Shard()), Key: k[:], Attempt: attempt, NotRun: notRun}
 		if _, err := p.EndClaim(ctx, req); err == nil {
 			return nil
@@ -129,29 +130,29 @@
 }
 
 const (
-	abandonFirst = time.Second
-	abandonMost  = 30 * time.Second
-	abandonFor   = 10 * time.Minute
-	// abandonedMost bounds the attempts that wait to be freed; beyond it their
-	// keys stay taken, which is safe.
-	abandonedMost = 10000
+	abandonInitialBackoff = time.Second
+	abandonMaxBackoff     = 30 * time.Second
+	abandonTimeout        = 10 * time.Minute
+	// maxAbandoned bounds the keys that are being released in the background. The keys
+	// of further attempts stay taken until they expire, which is safe.
+	maxAbandoned = 10000
 )
 
-// Abandon frees the key of an attempt whose claim could not be confirmed and
-// which was not and will not be dispatched. It works in the background until the
-// platform is back.
+// Abandon releases the key of an attempt whose claim could not be confirmed and that
+// was not and will not be dispatched. It retries in the background until the release
+// succeeds or abandonTimeout has passed.
 func (c *Client) Abandon(k Key, attempt string) {
-	if c.abandoned.Add(1) > abandonedMost {
-		c.abandoned.Add(-1)
+	if c.abandonedCount.Add(1) > maxAbandoned {
+		c.abandonedCount.Add(-1)
 		return
 	}
 	go func() {
-		defer c.abandoned.Add(-1)
-		pause := backoff.NewExponentialBackOff()
-		pause.InitialInterval = abandonFirst
-		pause.MaxInterval = abandonMost
-		for since := time.Now(); time.Since(since) < abandonFor; {
-			time.Sleep(pause.NextBackOff())
+		defer c.abandonedCount.Add(-1)
+		retryBackoff := backoff.NewExponentialBackOff()
+		retryBackoff.InitialInterval = abandonInitialBackoff
+		retryBackoff.MaxInterval = abandonMaxBackoff
+		for start := time.Now(); time.Since(start) < abandonTimeout; {
+			time.Sleep(retryBackoff.NextBackOff())
 			if c.End(context.Background(), k, attempt, true) == nil {
 				return
 			}
@@ -159,9 +160,9 @@
 	}()
 }
 
-// ServeClaim answers a peer's claim as its home.
+// ServeClaim records a claim on behalf of a peer.
 func (c *Client) ServeClaim(ctx context.Context, r *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
-	k, err := keyOf(r.GetKey(), r.GetShard())
+	k, err := decodeKey(r.GetKey(), r.GetShard())
 	if err != nil {
 		return nil, err
 	}
@@ -172,23 +173,23 @@
 	return &peerpb.ClaimReply{State: peerpb.ClaimState(res.State), Fence: res.Fence}, nil
 }
 
-// ServeEndClaim ends a claim on behalf of a peer.
+// ServeEndClaim records the end of an attempt on behalf of a peer.
 func (c *Client) ServeEndClaim(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
-	k, err := keyOf(r.GetKey(), r.GetShard())
+	k, err := decodeKey(r.GetKey(), r.GetShard())
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.EndClaimReply{}, c.Coordinator(k.Shard()).End(ctx, k, r.GetAttempt(), r.GetNotRun())
 }
 
-// BadKeyError says that a peer sent a key of the wrong size or shard.
+// BadKeyError reports that a peer sent a key of the wrong size or shard.
 type BadKeyError struct{ Size int }
 
 func (e *BadKeyError) Error() string {
 	return fmt.Sprintf("claim key of %d bytes, or of another shard: run the same version on all boxes", e.Size)
 }
 
-func keyOf(b []byte, shard uint32) (Key, error) {
+func decodeKey(b []byte, shard uint32) (Key, error) {
 	var k Key
 	if len(b) != KeySize {
 		return k, &BadKeyError{Size: len(b)}
--- a/pkg/claims/coordinator.go
+++ b/pkg/claims/coordinator.go
@@ -14,22 +14,20 @@
 	"headhill.example/headhill/pkg/objlog"
 )
 
-// KeyRetention is how long a key is remembered.
+// KeyRetention is how long a claimed key is kept.
 const KeyRetention = 24 * time.Hour
 
 const (
-	// appendTimeout bounds how long a claim waits for the platform's definite
-	// answer.
+	// appendTimeout bounds one append, including loading the log and retries after
+	// conflicts.
 	appendTimeout = 2 * time.Second
-	// batchMost bounds the records of one append.
-	batchMost = 256
-	// pauseAfterFailure is how long claims are answered at once, without trying,
-	// after the platform failed.
-	pauseAfterFailure = 500 * time.Millisecond
+	// maxBatchRecords bounds the records in one append.
+	maxBatchRecords = 256
+	// failFastPeriod is how long claims fail immediately after a failed append.
+	failFastPeriod = 500 * time.Millisecond
 )
 
-// UnavailableError says that a claim could not be recorded, so the call must not
-// run now.
+// UnavailableError reports that a claim could not be recorded, so the call must not run.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string {
@@ -41,29 +39,31 @@
 // Result is the answer to a claim.
 type Result struct {
 	State State
-	// Fence grows with each claim of the shard.
+	// Fence is the fencing token: it increases with each claim in the shard.
 	Fence uint64
 }
 
-// Coordinator appends to one claim shard's log. Any box may act as a home of any shard;
-// normally one does, because each conflict costs a write.
+// Coordinator decides claims and appends them to the log of one claim shard. Any box may
+// coordinate any shard, but normally only the owner does, because a conflict costs an
+// extra write.
 type Coordinator struct {
-	log    *objlog.Log
-	logger log.Logger
-	keep   time.Duration
+	log       *objlog.Log
+	logger    log.Logger
+	retention time.Duration
 
-	mu      sync.Mutex
-	waiting []*operation
-	running bool
-	// index belongs to the committing goroutine.
+	mu         sync.Mutex
+	pending    []*operation
+	committing bool
+	// The following fields belong to the committing goroutine.
 	index  *index
 	loaded bool
-	// pausedUntil keeps claims from waiting for a platform that just failed.
-	pausedUntil time.Time
-	pausedBy    error
+	// Until failFastUntil, claims fail with failFastErr instead of waiting for a
+	// platform that has just failed.
+	failFastUntil time.Time
+	failFastErr   error
 }
 
-// operation is one record on its way, with its caller.
+// operation is a record in flight together with the caller that waits for it.
 type operation struct {
 	ctx  context.Context
 	rec  record
@@ -75,45 +75,45 @@
 	err error
 }
 
-// NewCoordinator returns a home of claim shard n, whose log stands under prefix.
-func NewCoordinator(objects objectstore.Objects, prefix string, n int, logger log.Logger) *Coordinator {
-	x := newIndex()
+// NewCoordinator returns a coordinator of a claim shard whose log is stored under prefix.
+func NewCoordinator(objects objectstore.Objects, prefix string, shard int, logger log.Logger) *Coordinator {
+	idx := newIndex()
 	return &Coordinator{
-		log:    objlog.New(objects, fmt.Sprintf("%s/claims/%02d", prefix, n), x),
-		logger: logger,
-		keep:   KeyRetention,
-		index:  x,
+		log:       objlog.New(objects, fmt.Sprintf("%s/claims/%02d", prefix, shard), idx),
+		logger:    logger,
+		retention: KeyRetention,
+		index:     idx,
 	}
 }
 
-// Claim records an attempt's claim of a key. Claiming again for the same attempt
-// gives the same answer. The error is *UnavailableError.
-func (h *Coordinator) Claim(ctx context.Context, k Key, attempt string) (Result, error) {
-	return h.submit(ctx, record{Op: opClaim, Key: k, Attempt: attempt, At: time.Now().UTC()})
+// Claim records an attempt's claim on a key. It is idempotent per attempt. The error is
+// always an *UnavailableError.
+func (c *Coordinator) Claim(ctx context.Context, k Key, attempt string) (Result, error) {
+	return c.submit(ctx, record{Op: opClaim, Key: k, Attempt: attempt, At: time.Now().UTC()})
 }
 
-// End records how an attempt ended: run to its end, or not run, which frees the
-// key.
-func (h *Coordinator) End(ctx context.Context, k Key, attempt string, notRun bool) error {
+// End records that an attempt completed or, if notRun is set, was not run, which
+// releases the key.
+func (c *Coordinator) End(ctx context.Context, k Key, attempt string, notRun bool) error {
 	op := opDone
 	if notRun {
 		op = opFree
 	}
-	_, err := h.submit(ctx, record{Op: op, Key: k, Attempt: attempt, At: time.Now().UTC()})
+	_, err := c.submit(ctx, record{Op: op, Key: k, Attempt: attempt, At: time.Now().UTC()})
 	return err
 }
 
-// submit queues a record and waits for its end. One append is in flight at a
-// time; what comes meanwhile goes into the next.
-func (h *Coordinator) submit(ctx context.Context, rec record) (Result, error) {
+// submit queues a record and waits until it is committed. Only one append is in flight
+// at a time; records that arrive meanwhile are batched into the next one.
+func (c *Coordinator) submit(ctx context.Context, rec record) (Result, error) {
 	op := &operation{ctx: ctx, rec: rec, done: make(chan operationResult, 1)}
-	h.mu.Lock()
-	h.waiting = append(h.waiting, op)
-	if !h.running {
-		h.running = true
-		go h.commit()
+	c.mu.Lock()
+	c.pending = append(c.pending, op)
+	if !c.committing {
+		c.committing = true
+		go c.commit()
 	}
-	h.mu.Unlock()
+	c.mu.Unlock()
 	select {
 	case r := <-op.done:
 		return r.Result, r.err
@@ -122,66 +122,66 @@
 	}
 }
 
-// commit appends what waits, batch by batch, until nothing does.
-func (h *Coordinator) commit() {
+// commit appends pending records batch by batch until none are left.
+func (c *Coordinator) commit() {
 	for {
-		batch, ok := h.nextBatch()
+		batch, ok := c.nextBatch()
 		if !ok {
 			return
 		}
-		err := h.pausedBy
-		if !time.Now().Before(h.pausedUntil) {
-			err = h.append(batch)
+		err := c.failFastErr
+		if !time.Now().Before(c.failFastUntil) {
+			err = c.appendBatch(batch)
 		}
 		if err != nil {
-			h.fail(batch, err)
+			c.failBatch(batch, err)
 			continue
 		}
-		h.fold()
+		c.compact()
 	}
 }
 
-func (h *Coordinator) nextBatch() (batch []*operation, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.waiting) == 0 {
-		h.running = false
+func (c *Coordinator) nextBatch() (batch []*operation, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.pending) == 0 {
+		c.committing = false
 		return nil, false
 	}
-	n := min(len(h.waiting), batchMost)
-	batch = h.waiting[:n:n]
-	h.waiting = h.waiting[n:]
+	n := min(len(c.pending), maxBatchRecords)
+	batch = c.pending[:n:n]
+	c.pending = c.pending[n:]
 	return batch, true
 }
 
-// fail answers a batch that was not recorded, or not surely. For a moment the
-// next ones get the same answer at once.
-func (h *Coordinator) fail(batch []*operation, err error) {
+// failBatch fails a batch whose append failed or has an unknown outcome, and makes the
+// following batches fail immediately for failFastPeriod.
+func (c *Coordinator) failBatch(batch []*operation, err error) {
 	now := time.Now()
-	if !now.Before(h.pausedUntil) {
-		level.Warn(h.logger).Log("msg", "claims can't be recorded", "calls", len(batch), "err", err)
-		h.pausedUntil, h.pausedBy = now.Add(pauseAfterFailure), err
+	if !now.Before(c.failFastUntil) {
+		level.Warn(c.logger).Log("msg", "failed to record claims", "calls", len(batch), "err", err)
+		c.failFastUntil, c.failFastErr = now.Add(failFastPeriod), err
 	}
 	for _, op := range batch {
 		op.done <- operationResult{err: &UnavailableError{Cause: err}}
 	}
 }
 
-// append decides a batch against the log as it is and records what is new. When
-// the log turns out to be further on, it decides again.
-func (h *Coordinator) append(batch []*operation) error {
+// appendBatch decides a batch against the current log and appends the new records. If
+// another coordinator has appended meanwhile, it decides again.
+func (c *Coordinator) appendBatch(batch []*operation) error {
 	ctx, cancel := context.WithTimeout(context.Background(), appendTimeout)
 	defer cancel()
-	if !h.loaded {
-		if err := h.log.Refresh(ctx); err != nil {
+	if !c.loaded {
+		if err := c.log.Refresh(ctx); err != nil {
 			return err
 		}
-		h.loaded = true
+		c.loaded = true
 	}
 	for {
-		next := h.log.Next()
-		records, results := h.decide(next, batch)
-		err := h.store(ctx, next, records)
+		next := c.log.Next()
+		records, results := c.decideBatch(next, batch)
+		err := c.appendRecords(ctx, next, records)
 		if objlog.IsMoved(err) {
 			continue
 		}
@@ -195,39 +195,39 @@
 	}
 }
 
-func (h *Coordinator) store(ctx context.Context, next uint64, records []record) error {
+func (c *Coordinator) appendRecords(ctx context.Context, next uint64, records []record) error {
 	if len(records) == 0 {
 		return nil
 	}
-	list := make([]objlog.Record, 0, len(records))
+	encoded := make([]objlog.Record, 0, len(records))
 	for _, r := range records {
-		// Plain structs always encode.
+		// Marshalling a record can't fail.
 		data, _ := json.Marshal(r)
-		list = append(list, objlog.Record{ID: r.Op + "-" + r.Attempt, Data: data})
+		encoded = append(encoded, objlog.Record{ID: r.Op + "-" + r.Attempt, Data: data})
 	}
-	return h.log.Append(ctx, next, list)
+	return c.log.Append(ctx, next, encoded)
 }
 
-// decide works out which records of a batch are needed, and what their callers
-// are told if these get recorded from index next on.
-func (h *Coordinator) decide(next uint64, batch []*operation) ([]record, []Result) {
+// decideBatch returns the records of a batch that must be appended, and the results for
+// its callers, provided that the records are appended starting at index next.
+func (c *Coordinator) decideBatch(next uint64, batch []*operation) ([]record, []Result) {
 	var records []record
 	claimed := make(map[Key]entry)
 	results := make([]Result, len(batch))
 	for i, op := range batch {
 		if op.ctx.Err() != nil {
-			// Its caller was told already.
+			// submit has already returned an error to the caller.
 			continue
 		}
 		if op.rec.Op != opClaim {
 			records = append(records, op.rec)
 			continue
 		}
-		e, held := h.index.entries[op.rec.Key]
-		if !held {
-			e, held = claimed[op.rec.Key]
+		e, exists := c.index.entries[op.rec.Key]
+		if !exists {
+			e, exists = claimed[op.rec.Key]
 		}
-		if !held {
+		if !exists {
 			e = entry{Attempt: op.rec.Attempt, Fence: next + uint64(len(records))}
 			claimed[op.rec.Key] = e
 			records = append(records, op.rec)
@@ -237,7 +237,7 @@
 	return records, results
 }
 
-// resultFor tells an attempt what the entry means for it.
+// resultFor returns the result of a claim by attempt on the entry's key.
 func (e entry) resultFor(attempt string) Result {
 	switch {
 	case e.Attempt == attempt:
@@ -248,17 +248,17 @@
 	return Result{State: Taken}
 }
 
-// fold shortens a long log.
-func (h *Coordinator) fold() {
-	if !h.log.Foldable() {
+// compact replaces a long log by a snapshot.
+func (c *Coordinator) compact() {
+	if !c.log.Foldable() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	err := h.log.Fold(ctx, func(uint64) ([][]byte, bool) {
-		return h.index.snapshot(time.Now(), h.keep), true
+	err := c.log.Fold(ctx, func(uint64) ([][]byte, bool) {
+		return c.index.snapshot(time.Now(), c.retention), true
 	})
 	if err != nil {
-		level.Warn(h.logger).Log("msg", "folding a claim log failed; it is tried again later", "err", err)
+		level.Warn(c.logger).Log("msg", "failed to compact claim log; will retry later", "err", err)
 	}
 }
--- a/pkg/claims/doc.go
+++ b/pkg/claims/doc.go
@@ -1,8 +1,8 @@
-// Package claims makes a keyed call that may not be repeated run at most once.
+// Package claims runs non-repeatable calls with an idempotency key at most once.
 //
-// Before such a call goes out, its claim, the hash of organisation and key, must
-// stand in the log of its claim shard (package objlog). The platform's
-// conditional write is the only arbiter, so two homes of one shard, or one that
-// was paused, can't both record a key. Without the platform nothing can be
-// claimed, and the call is not run.
+// Before such a call is dispatched, a claim on the hash of its organisation and
+// idempotency key must be committed to the log of its claim shard (package objlog).
+// Commits use the platform's conditional write, so two coordinators of one shard, or
+// one that was paused, can't both grant a key. While the platform is unavailable no
+// key can be claimed and the call is not run.
 package claims
--- a/pkg/claims/record.go
+++ b/pkg/claims/record.go
@@ -14,13 +14,14 @@
 // ShardCount is the number of claim shards.
 const ShardCount = 16
 
-// KeySize is the size of a claim's key, in bytes.
+// KeySize is the size of a Key in bytes.
 const KeySize = 16
 
-// Key names a call: a hash of its organisation and idempotency key.
+// Key identifies a call by a hash of its organisation and idempotency key.
 type Key [KeySize]byte
 
-// KeyOf returns the key of an organisation's idempotency key.
+// KeyOf returns the Key of an organisation's idempotency key. The organisation is
+// length-prefixed, so that no two pairs yield the same hash input.
 func KeyOf(organisation, idempotencyKey string) Key {
 	h := sha256.New()
 	var length [8]byte
@@ -33,10 +34,10 @@
 	return k
 }
 
-// Shard returns the key's claim shard.
+// Shard returns the number of the claim shard that stores the key.
 func (k Key) Shard() int { return int(k[0]) % ShardCount }
 
-// String returns the key in hex.
+// String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -51,20 +52,20 @@
 	return err
 }
 
-// State is what is known of a claim.
+// State is the outcome of a claim. Its values match peerpb.ClaimState.
 type State int
 
 // States of a claim.
 const (
-	// Granted: this attempt may run.
+	// Granted means that this attempt holds the key and may run.
 	Granted State = iota + 1
-	// Taken: another attempt has the key, and how it ended is not known.
+	// Taken means that another attempt holds the key and its outcome is unknown.
 	Taken
-	// Done: another attempt ran to its end.
+	// Done means that another attempt completed the call.
 	Done
 )
 
-// Operations of a record.
+// Operations in a record.
 const (
 	opClaim = "claim"
 	opDone  = "done"
@@ -79,7 +80,7 @@
 	At      time.Time `json:"at"`
 }
 
-// entry is what the log says of one key.
+// entry is the current state of one key.
 type entry struct {
 	Attempt string    `json:"attempt"`
 	Fence   uint64    `json:"fence"`
@@ -87,7 +88,7 @@
 	At      time.Time `json:"at"`
 }
 
-// index is the state of a claim shard's log.
+// index is the state obtained by replaying a claim shard's log.
 type index struct {
 	entries map[Key]entry
 }
@@ -115,48 +116,48 @@
 	return nil
 }
 
-// apply takes one record in. The first claim of a key stands; only the attempt
-// that has it can end it.
+// apply applies the record at log index i. The first claim of a key wins, and only the
+// attempt that holds the key can complete or release it.
 func (x *index) apply(i uint64, rec record) {
-	e, held := x.entries[rec.Key]
+	e, exists := x.entries[rec.Key]
 	switch rec.Op {
 	case opClaim:
-		if !held {
+		if !exists {
 			x.entries[rec.Key] = entry{Attempt: rec.Attempt, Fence: i, At: rec.At}
 		}
 	case opDone:
-		if held && e.Attempt == rec.Attempt {
+		if exists && e.Attempt == rec.Attempt {
 			e.Done = true
 			x.entries[rec.Key] = e
 		}
 	case opFree:
-		if held && e.Attempt == rec.Attempt {
+		if exists && e.Attempt == rec.Attempt {
 			delete(x.entries, rec.Key)
 		}
 	}
 }
 
-// partEntries is the number of entries in a part of a snapshot: about half of
-// the platform's largest value.
-const partEntries = 4000
+// maxPartEntries bounds the entries in one part of a snapshot, so that an encoded part
+// stays below the platform's object size limit.
+const maxPartEntries = 4000
 
-// snapshot encodes the entries younger than keep, and drops the others.
-func (x *index) snapshot(now time.Time, keep time.Duration) [][]byte {
+// snapshot evicts the entries older than retention and encodes the rest.
+func (x *index) snapshot(now time.Time, retention time.Duration) [][]byte {
 	var parts [][]byte
-	batch := make(map[Key]entry)
+	part := make(map[Key]entry)
 	flush := func() {
-		// Plain structs always encode.
-		b, _ := json.Marshal(batch)
+		// Marshalling these types can't fail.
+		b, _ := json.Marshal(part)
 		parts = append(parts, b)
-		batch = make(map[Key]entry)
+		part = make(map[Key]entry)
 	}
 	for k, e := range x.entries {
-		if now.Sub(e.At) > keep {
+		if now.Sub(e.At) > retention {
 			delete(x.entries, k)
 			continue
 		}
-		batch[k] = e
-		if len(batch) == partEntries {
+		part[k] = e
+		if len(part) == maxPartEntries {
 			flush()
 		}
 	}
