--- a/pkg/scheduler/admission.go
+++ b/pkg/scheduler/admission.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// reserve admits, refuses, or sheds another request to make room.
+// reserve queues a request, or refuses it. If the queue overflows, a request is shed,
+// which may be another one. Unless isNew is set, the request was admitted by an earlier
+// owner and is not checked against rate limits and its deadline again.
 //
-// The bound counts only what stands beyond the classes' floor places. A class
-// with a free floor place is therefore always admitted, and nobody is refused
-// on account of lower-tier work that stands in its floor places.
-func (s *Scheduler) reserve(now time.Time, q Request, fresh bool) {
-	if s.waiting[q.ID] != nil || s.granted[q.ID] != nil {
+// Config.QueueLimit doesn't count requests in floor places. A class with a free floor
+// place is therefore always admitted, and lower-tier requests in floor places don't
+// cause requests of other classes to be shed.
+func (s *Scheduler) reserve(now time.Time, req Request, isNew bool) {
+	if s.waiting[req.ID] != nil || s.granted[req.ID] != nil {
 		return
 	}
-	r := &request{Request: q}
-	c := s.byName[q.Class]
+	r := &request{Request: req}
+	c := s.classByName[req.Class]
 	if c == nil {
 		s.refuse(now, r, ReasonUnknownClass)
 		return
 	}
-	if c.allowed == 0 {
+	if c.allowedServers == 0 {
 		s.refuse(now, r, ReasonNoServer)
 		return
 	}
-	o := s.organisation(now, q.Organisation)
-	r.flow = &flow{class: c, org: o}
-	if fresh {
-		if wait, ok := o.admit(now, q.PromptTokens); !ok {
-			s.refuseFor(r, ReasonLimit, wait)
+	o := s.organisation(now, req.Organisation)
+	r.flow = &flow{class: c, organisation: o}
+	if isNew {
+		if wait, ok := o.admit(now, req.PromptTokens); !ok {
+			s.refuseWithRetryAfter(r, ReasonLimit, wait)
 			return
 		}
 	}
-	if fresh && s.hopeless(now, r) {
+	if isNew && s.wouldMissDeadline(now, r) {
 		s.refuse(now, r, ReasonDeadline)
 		return
 	}
 	s.enqueue(c, o, r)
-	if victim := s.overflow(c); victim != nil {
-		s.drop(victim)
+	if victim := s.overflowVictim(c); victim != nil {
+		s.dequeue(victim)
 		s.refuse(now, victim, ReasonQueueFull)
 	}
 }
@@ -48,184 +50,183 @@
 	}
 }
 
-// overflow returns the request to shed after one of class newcomer was added,
-// or nil while the queue is within its bound. A class that was within its floor
-// places is never the reason that the queue overflows.
-func (s *Scheduler) overflow(newcomer *class) *request {
-	if newcomer.beyond() == 0 || s.beyond() <= s.cfg.QueueLimit {
+// overflowVictim returns the request to shed after a request of class added was queued,
+// or nil if the queue is within its limit. A class within its floor places never causes
+// an overflow.
+func (s *Scheduler) overflowVictim(added *class) *request {
+	if added.sharedWaiting() == 0 || s.sharedWaiting() <= s.cfg.QueueLimit {
 		return nil
 	}
-	return s.victim()
+	return s.shedVictim()
 }
 
-// beyond counts the waiting requests that stand in the shared part of the queue.
-func (s *Scheduler) beyond() int {
+// sharedWaiting is the number of waiting requests outside floor places.
+func (s *Scheduler) sharedWaiting() int {
 	n := 0
 	for _, c := range s.classes {
-		n += c.beyond()
+		n += c.sharedWaiting()
 	}
 	return n
 }
 
-// victim picks what gives way: in the lowest tier with work beyond its floor
-// places, the class furthest over its guarantee; there the organisation with
-// the longest queue for its weight; there the newest request.
-func (s *Scheduler) victim() *request {
+// shedVictim returns the request to shed: in the lowest tier with requests outside floor
+// places, it selects the class that exceeds its guaranteed places most, then the
+// organisation with the longest queue relative to its weight, then the newest request.
+func (s *Scheduler) shedVictim() *request {
 	var worst *class
 	for i := len(s.classes) - 1; i >= 0; i-- {
 		c := s.classes[i]
-		if c.beyond() == 0 {
+		if c.sharedWaiting() == 0 {
 			continue
 		}
 		if worst != nil && c.Tier < worst.Tier {
 			break
 		}
-		if worst == nil || c.waiting-c.GuaranteedPlaces > worst.waiting-worst.GuaranteedPlaces {
+		if worst == nil || c.numWaiting-c.GuaranteedPlaces > worst.numWaiting-worst.GuaranteedPlaces {
 			worst = c
 		}
 	}
 	if worst == nil {
 		return nil
 	}
-	f, _ := worst.shed.min()
+	f, _ := worst.shedOrder.min()
 	return f.tail()
 }
 
-// hopeless tells whether a newcomer can't be served before its deadline, judged
-// by the rate of starts and what stands before it. A class within its floor
-// places gets the benefit of the doubt.
-func (s *Scheduler) hopeless(now time.Time, r *request) bool {
+// wouldMissDeadline reports whether a new request is expected to still be waiting at its
+// deadline. A request that gets a floor place is always admitted.
+func (s *Scheduler) wouldMissDeadline(now time.Time, r *request) bool {
 	c := r.flow.class
-	if s.cfg.Ablations.NoEarlyRefusal || r.Deadline.IsZero() || c.waiting < c.FloorPlaces {
+	if s.cfg.Ablations.NoEarlyRefusal || r.Deadline.IsZero() || c.numWaiting < c.FloorPlaces {
 		return false
 	}
 	wait, known := s.expectedWait(c)
 	return known && now.Add(wait).After(r.Deadline)
 }
 
-// expectedWait estimates how long a newcomer of class c waits: what stands before
-// it, over the starts a second that its servers make when they are full. The
-// starts that were made say nothing: when there is little to do they measure the
-// demand. So the rate comes from slots and the mean time in one (Little's law).
+// expectedWait estimates the queueing time of a new request of class c from the requests
+// ahead of it and the throughput of its servers. The throughput is derived from the
+// number of slots and the mean slot time (Little's law), because the observed start rate
+// only reflects demand while the shard is underloaded.
 func (s *Scheduler) expectedWait(c *class) (wait time.Duration, known bool) {
-	if s.meanHeld == 0 {
+	if s.meanSlotTime == 0 {
 		return 0, false
 	}
 	ahead := 0
-	for _, o := range s.classes {
-		if o.Tier <= c.Tier {
-			ahead += o.waiting
+	for _, other := range s.classes {
+		if other.Tier <= c.Tier {
+			ahead += other.numWaiting
 		}
 	}
 	slots := 0
 	for _, sv := range s.servers {
-		if c.allowed.has(sv.index) && !sv.Leaving && !sv.leaving && !sv.down {
+		if c.allowedServers.has(sv.index) && !sv.Leaving && !sv.reportedLeaving && !sv.down {
 			slots += int(sv.limit)
 		}
 	}
-	return time.Duration(ahead) * s.meanHeld / time.Duration(max(1, slots)), true
+	return time.Duration(ahead) * s.meanSlotTime / time.Duration(max(1, slots)), true
 }
 
-// noteHeld takes the time that a request held its slot into the running mean.
-func (s *Scheduler) noteHeld(held time.Duration) {
-	if s.meanHeld == 0 {
-		s.meanHeld = held
+// recordSlotTime adds the time that a request occupied its slot to the running mean.
+func (s *Scheduler) recordSlotTime(slotTime time.Duration) {
+	if s.meanSlotTime == 0 {
+		s.meanSlotTime = slotTime
 	}
-	s.meanHeld += time.Duration(heldSmoothing * float64(held-s.meanHeld))
+	s.meanSlotTime += time.Duration(slotTimeSmoothing * float64(slotTime-s.meanSlotTime))
 }
 
-// heldSmoothing is the weight of one more request in the mean time in a slot.
-const heldSmoothing = 0.02
+// slotTimeSmoothing is the weight of a new sample in the mean slot time.
+const slotTimeSmoothing = 0.02
 
-// drop takes a waiting request out of every queue.
-func (s *Scheduler) drop(r *request) {
+// dequeue removes a waiting request from all queues.
+func (s *Scheduler) dequeue(r *request) {
 	delete(s.waiting, r.ID)
 	s.deadlines.remove(r)
 	r.flow.class.remove(r)
 }
 
 func (s *Scheduler) refuseAll(now time.Time, c *class, reason Reason) {
-	for c.waiting > 0 {
-		f, _ := c.shed.min()
+	for c.numWaiting > 0 {
+		f, _ := c.shedOrder.min()
 		r := f.head()
-		s.drop(r)
+		s.dequeue(r)
 		s.refuse(now, r, reason)
 	}
 }
 
-// refuse answers at once, with an estimate of when asking again has a chance.
+// refuse refuses a request with an estimated Retry-After.
 func (s *Scheduler) refuse(now time.Time, r *request, reason Reason) {
-	wait := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if r.flow != nil {
-		wait = s.nextReturn(now, r.flow.class)
+		retryAfter = s.nextRetryAfter(now, r.flow.class)
 	}
-	s.refuseFor(r, reason, wait)
+	s.refuseWithRetryAfter(r, reason, retryAfter)
 }
 
-// nextReturn gives a refused caller its turn to come back. Callers who were all
-// told the same time would come back all at once and be refused again; turns are
-// spaced by the class's own rate, so that there is room for each.
-func (s *Scheduler) nextReturn(now time.Time, c *class) time.Duration {
-	turn := now.Add(s.untilRoom(c))
-	if perSecond, known := c.starts.perSecond(); known {
-		spaced := c.lastReturn.Add(time.Duration(float64(time.Second) / max(perSecond, leastRate)))
-		if spaced.After(turn) {
-			turn = spaced
+// nextRetryAfter returns the time after which a refused caller should retry. Retry times
+// of a class are spaced by its start rate, so that callers that were refused together
+// don't retry together and overload the queue again.
+func (s *Scheduler) nextRetryAfter(now time.Time, c *class) time.Duration {
+	retryAt := now.Add(s.estimateDrainTime(c))
+	if perSecond, known := c.startRate.perSecond(); known {
+		spaced := c.lastRetryAt.Add(time.Duration(float64(time.Second) / max(perSecond, minStartsPerSecond)))
+		if spaced.After(retryAt) {
+			retryAt = spaced
 		}
 	}
-	if latest := now.Add(maxRetryAfter); turn.After(latest) {
-		turn = latest
+	if latest := now.Add(maxRetryAfter); retryAt.After(latest) {
+		retryAt = latest
 	}
-	c.lastReturn = turn
-	return turn.Sub(now)
+	c.lastRetryAt = retryAt
+	return retryAt.Sub(now)
 }
 
-// untilRoom estimates when a class's queue will have drained: at the rate of its
-// own starts, if it had work waiting lately, since what comes in higher tiers
-// meanwhile goes first; else at the servers' whole rate.
-func (s *Scheduler) untilRoom(c *class) time.Duration {
+// estimateDrainTime estimates the time until the queue of a class has drained. It uses
+// the class's own start rate if that is known and yields a longer time, since requests
+// of higher tiers that arrive meanwhile are started first.
+func (s *Scheduler) estimateDrainTime(c *class) time.Duration {
 	wait, _ := s.expectedWait(c)
-	if perSecond, known := c.starts.perSecond(); known {
-		own := time.Duration(float64(c.waiting) / max(perSecond, leastRate) * float64(time.Second))
-		wait = max(wait, own)
+	if perSecond, known := c.startRate.perSecond(); known {
+		ownRateWait := time.Duration(float64(c.numWaiting) / max(perSecond, minStartsPerSecond) * float64(time.Second))
+		wait = max(wait, ownRateWait)
 	}
 	return wait
 }
 
-// leastRate keeps estimates finite when a class starts nothing at all.
-const leastRate = 0.1
+// minStartsPerSecond bounds the estimates for a class that starts no requests.
+const minStartsPerSecond = 0.1
 
-// startRate is the rate of a class's starts over windows in which it had work
-// waiting all the time: only those tell what it can get.
+// startRate measures the rate at which a class starts requests. The rate is unknown after
+// a window in which the queue was empty, which measures demand rather than capacity.
 type startRate struct {
-	from  time.Time
-	count int
-	idle  bool
-	mean  float64
-	known bool
+	windowStart time.Time
+	count       int
+	sawIdle     bool
+	mean        float64
+	known       bool
 }
 
-const rateWindow = time.Second
+const startRateWindow = time.Second
 
-// tick closes a window.
+// tick closes the current window if it has ended.
 func (r *startRate) tick(now time.Time, waiting int) {
 	if waiting == 0 {
-		r.idle = true
+		r.sawIdle = true
 	}
-	passed := now.Sub(r.from)
-	if passed < rateWindow {
+	elapsed := now.Sub(r.windowStart)
+	if elapsed < startRateWindow {
 		return
 	}
-	sample := float64(r.count) / passed.Seconds()
+	sample := float64(r.count) / elapsed.Seconds()
 	switch {
-	case r.idle || r.from.IsZero():
+	case r.sawIdle || r.windowStart.IsZero():
 		r.known = false
 	case !r.known:
 		r.mean, r.known = sample, true
 	default:
-		r.mean += smoothing * (sample - r.mean)
+		r.mean += smoothingFactor * (sample - r.mean)
 	}
-	*r = startRate{from: now, mean: r.mean, known: r.known, idle: waiting == 0}
+	*r = startRate{windowStart: now, mean: r.mean, known: r.known, sawIdle: waiting == 0}
 }
 
 func (r *startRate) perSecond() (rate float64, known bool) { return r.mean, r.known }
@@ -233,12 +234,12 @@
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
-	// retryJitter spreads callers who were refused together.
+	// retryJitter is the maximum random extension of Retry-After, as a fraction.
 	retryJitter = 0.5
 )
 
-func (s *Scheduler) refuseFor(r *request, reason Reason, wait time.Duration) {
-	wait = time.Duration(float64(wait) * (1 + retryJitter*s.rng.Float64()))
-	wait = min(max(wait, minRetryAfter), maxRetryAfter)
-	s.out.Refusals = append(s.out.Refusals, Refusal{ID: r.ID, Reason: reason, RetryAfter: wait})
+func (s *Scheduler) refuseWithRetryAfter(r *request, reason Reason, retryAfter time.Duration) {
+	retryAfter = time.Duration(float64(retryAfter) * (1 + retryJitter*s.rng.Float64()))
+	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
+	s.decisions.Refusals = append(s.decisions.Refusals, Refusal{ID: r.ID, Reason: reason, RetryAfter: retryAfter})
 }
--- a/pkg/scheduler/admission_test.go
+++ b/pkg/scheduler/admission_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// epoch is when the tests' virtual time begins.
+// epoch is the start of virtual time in tests.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// oneServer is a shard of one server and the given classes.
+// oneServer returns a shard with one server and the given classes.
 func oneServer(slots, queue int, classes ...Class) Config {
 	return Config{Classes: classes, Servers: []Server{{Name: "s1", Slots: slots}}, QueueLimit: queue}
 }
@@ -23,8 +23,8 @@
 	return Class{Name: "batch", Tier: 3, Floor: 0.05, FloorPlaces: 2, GuaranteedPlaces: 20}
 }
 
-// A shard that had little to do before a burst must not judge the burst by the
-// few starts it made: they measured the demand, not what the servers can do.
+// A burst after a period of low load must not be refused because of the low start rate of
+// that period, which reflects demand rather than capacity.
 func TestBurstAfterIdlePeriodIsNotRefused(t *testing.T) {
 	s := New(oneServer(8, 500, counterClass()), 1)
 	now := epoch
@@ -47,6 +47,6 @@
 	for range 200 {
 		s.Reserve(now, request())
 	}
-	// 8 slots of 100 ms each serve 200 requests in 2.5 s of the 30 s they have.
+	// With 8 slots and 100 ms per request, 200 requests take 2.5 s. Their deadline is 30 s.
 	require.Empty(t, s.TakeDecisions().Refusals)
 }
--- a/pkg/scheduler/bench_test.go
+++ b/pkg/scheduler/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// benchConfig is a shard of 32 servers and 7 classes, full.
+// benchConfig returns a shard with 32 servers and 7 classes.
 func benchConfig(queue int) Config {
 	cfg := Config{QueueLimit: queue, HeadroomSlots: 4}
 	for i := range 32 {
@@ -19,26 +19,26 @@
 	return cfg
 }
 
-// loaded is a scheduler whose servers are full and whose queue holds n requests
-// of many organisations.
-type loaded struct {
-	s       *Scheduler
+// loadedScheduler is a scheduler with full servers and a queue of requests of 200
+// organisations.
+type loadedScheduler struct {
+	sched   *Scheduler
 	now     time.Time
 	seq     uint64
 	granted []ID
 }
 
-func newLoaded(n int) *loaded {
-	l := &loaded{s: New(benchConfig(n+100000), 1), now: epoch}
+func newLoadedScheduler(n int) *loadedScheduler {
+	l := &loadedScheduler{sched: New(benchConfig(n+100000), 1), now: epoch}
 	for range 32*64 + n {
 		l.reserve()
 	}
 	return l
 }
 
-func (l *loaded) reserve() {
+func (l *loadedScheduler) reserve() {
 	l.seq++
-	l.s.Reserve(l.now, Request{
+	l.sched.Reserve(l.now, Request{
 		ID:           ID{Box: "box-1/0123456789abcdef", Seq: l.seq},
 		Class:        fmt.Sprintf("class-%d", l.seq%7),
 		Organisation: fmt.Sprintf("organisation-%d", l.seq%200),
@@ -47,28 +47,28 @@
 		Deadline:     l.now.Add(time.Hour),
 		PrefixHashes: []uint64{l.seq % 100, l.seq % 1000, l.seq},
 	})
-	for _, g := range l.s.TakeDecisions().Grants {
-		l.s.Start(g.ID)
+	for _, g := range l.sched.TakeDecisions().Grants {
+		l.sched.Start(g.ID)
 		l.granted = append(l.granted, g.ID)
 	}
 }
 
-func (l *loaded) finish() {
+func (l *loadedScheduler) finish() {
 	id := l.granted[0]
 	l.granted = l.granted[1:]
-	l.s.Finish(l.now, Completion{ID: id, Result: ResultDone, PromptTokens: 500, OutputTokens: 100, InterTokenLatency: 20 * time.Millisecond})
-	for _, g := range l.s.TakeDecisions().Grants {
-		l.s.Start(g.ID)
+	l.sched.Finish(l.now, Completion{ID: id, Result: ResultDone, PromptTokens: 500, OutputTokens: 100, InterTokenLatency: 20 * time.Millisecond})
+	for _, g := range l.sched.TakeDecisions().Grants {
+		l.sched.Start(g.ID)
 		l.granted = append(l.granted, g.ID)
 	}
 }
 
-// BenchmarkDecision is one request's whole share of decisions: reservation, grant
-// and end, with n requests waiting at 32 full servers.
+// BenchmarkDecision measures the reservation, grant and end of one request at various
+// queue lengths.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("waiting=%d", n), func(b *testing.B) {
-			l := newLoaded(n)
+			l := newLoadedScheduler(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				l.now = l.now.Add(time.Millisecond)
@@ -79,21 +79,21 @@
 	}
 }
 
-// BenchmarkShed is a newcomer to a full queue.
+// BenchmarkShed measures a reservation that overflows the queue.
 func BenchmarkShed(b *testing.B) {
-	l := newLoaded(10000)
-	l.s.cfg.QueueLimit = 10000
+	l := newLoadedScheduler(10000)
+	l.sched.cfg.QueueLimit = 10000
 	for b.Loop() {
 		l.reserve()
 	}
 }
 
-// BenchmarkWaitingMemory reports the heap that one waiting request takes.
+// BenchmarkWaitingMemory measures the heap size of a waiting request.
 func BenchmarkWaitingMemory(b *testing.B) {
 	const n = 50000
 	for b.Loop() {
 		before := heapInUse()
-		l := newLoaded(n)
+		l := newLoadedScheduler(n)
 		b.ReportMetric(float64(heapInUse()-before)/n, "B/waiting")
 		runtime.KeepAlive(l)
 	}
--- a/pkg/scheduler/differential_test.go
+++ b/pkg/scheduler/differential_test.go
@@ -9,12 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// genConfig draws a small shard: up to four classes over three tiers, up to four
-// servers, a short queue.
+// genConfig generates the configuration of a small shard with a short queue.
 func genConfig(t *rapid.T) Config {
 	cfg := Config{
-		QueueLimit:    rapid.IntRange(1, 12).Draw(t, "queue"),
-		HeadroomSlots: rapid.IntRange(0, 2).Draw(t, "headroom"),
+		QueueLimit:    rapid.IntRange(1, 12).Draw(t, "queue limit"),
+		HeadroomSlots: rapid.IntRange(0, 2).Draw(t, "headroom slots"),
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "servers") {
 		cfg.Servers = append(cfg.Servers, Server{Name: fmt.Sprintf("s%d", i), Slots: rapid.IntRange(1, 4).Draw(t, "slots")})
@@ -25,9 +24,9 @@
 			Tier:             rapid.IntRange(1, 3).Draw(t, "tier"),
 			Floor:            rapid.SampledFrom([]float64{0.02, 0.125, 0.4}).Draw(t, "floor"),
 			FloorPlaces:      rapid.IntRange(1, 2).Draw(t, "floor places"),
-			GuaranteedPlaces: rapid.IntRange(0, 4).Draw(t, "places"),
-			FirstTokenTarget: time.Duration(rapid.IntRange(0, 3).Draw(t, "target")) * time.Second,
-			InterTokenTarget: time.Duration(rapid.SampledFrom([]int{0, 37}).Draw(t, "between")) * time.Millisecond,
+			GuaranteedPlaces: rapid.IntRange(0, 4).Draw(t, "guaranteed places"),
+			FirstTokenTarget: time.Duration(rapid.IntRange(0, 3).Draw(t, "first-token target")) * time.Second,
+			InterTokenTarget: time.Duration(rapid.SampledFrom([]int{0, 37}).Draw(t, "inter-token target")) * time.Millisecond,
 		}
 		if rapid.Bool().Draw(t, "restricted") {
 			c.Servers = []string{"s0"}
@@ -43,122 +42,123 @@
 	return cfg
 }
 
-// history drives a scheduler and its naive twin through the same random events.
-type history struct {
-	sched *Scheduler
-	naive *naive
-	cfg   Config
-	now   time.Time
-	seq   uint64
-	ids   []ID
+// lockstepTest applies the same random events to a scheduler and the reference.
+type lockstepTest struct {
+	sched     *Scheduler
+	reference *referenceScheduler
+	cfg       Config
+	now       time.Time
+	seq       uint64
+	ids       []ID
 }
 
-// check compares what the two decided since the last check.
-func (h *history) check(t *rapid.T) {
-	got, want := h.sched.TakeDecisions(), h.naive.out
-	h.naive.out = Decisions{}
+// check compares the decisions since the last check.
+func (l *lockstepTest) check(t *rapid.T) {
+	got, want := l.sched.TakeDecisions(), l.reference.decisions
+	l.reference.decisions = Decisions{}
 	for i := range got.Refusals {
-		// The naive version does not estimate when to come back.
+		// The reference doesn't estimate Retry-After.
 		got.Refusals[i].RetryAfter = 0
 	}
 	require.Equal(t, want, got)
-	require.Len(t, h.sched.waiting, len(h.naive.waiting))
-	require.Len(t, h.sched.granted, len(h.naive.granted))
+	require.Len(t, l.sched.waiting, len(l.reference.waiting))
+	require.Len(t, l.sched.granted, len(l.reference.granted))
 }
 
-func (h *history) id(t *rapid.T) ID {
-	if len(h.ids) == 0 {
+func (l *lockstepTest) id(t *rapid.T) ID {
+	if len(l.ids) == 0 {
 		return ID{}
 	}
-	return rapid.SampledFrom(h.ids).Draw(t, "id")
+	return rapid.SampledFrom(l.ids).Draw(t, "id")
 }
 
-func (h *history) reserve(t *rapid.T) {
-	h.seq++
+func (l *lockstepTest) reserve(t *rapid.T) {
+	l.seq++
 	r := Request{
-		ID:           ID{Box: "b", Seq: h.seq},
-		Class:        rapid.SampledFrom(h.cfg.Classes).Draw(t, "class").Name,
+		ID:           ID{Box: "b", Seq: l.seq},
+		Class:        rapid.SampledFrom(l.cfg.Classes).Draw(t, "class").Name,
 		Organisation: rapid.SampledFrom([]string{"o0", "o1", "o2"}).Draw(t, "organisation"),
 		PromptTokens: rapid.IntRange(1, 200).Draw(t, "prompt"),
-		Arrival:      h.now,
+		Arrival:      l.now,
 	}
 	if rapid.Bool().Draw(t, "has deadline") {
-		r.Deadline = h.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond)
+		r.Deadline = l.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond)
 	}
 	if p := rapid.IntRange(0, 3).Draw(t, "prefix"); p > 0 {
-		r.PrefixHashes = []uint64{uint64(p), uint64(p*10 + rapid.IntRange(0, 1).Draw(t, "longer"))}
+		r.PrefixHashes = []uint64{uint64(p), uint64(p*10 + rapid.IntRange(0, 1).Draw(t, "longer prefix"))}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "avoid") == 0 {
 		r.AvoidServers = []string{"s0"}
 	}
-	h.ids = append(h.ids, r.ID)
-	h.sched.Reserve(h.now, r)
-	h.naive.reserve(h.now, r)
+	l.ids = append(l.ids, r.ID)
+	l.sched.Reserve(l.now, r)
+	l.reference.reserve(l.now, r)
 }
 
-func (h *history) finish(t *rapid.T) {
+func (l *lockstepTest) finish(t *rapid.T) {
 	c := Completion{
-		ID:                h.id(t),
+		ID:                l.id(t),
 		Result:            rapid.SampledFrom([]Result{ResultDone, ResultDone, ResultFailed, ResultAbandoned}).Draw(t, "result"),
 		PromptTokens:      rapid.IntRange(1, 200).Draw(t, "prompt"),
 		OutputTokens:      rapid.IntRange(0, 400).Draw(t, "output"),
-		InterTokenLatency: time.Duration(rapid.IntRange(0, 120).Draw(t, "between")) * time.Millisecond,
+		InterTokenLatency: time.Duration(rapid.IntRange(0, 120).Draw(t, "inter-token latency")) * time.Millisecond,
 	}
-	h.sched.Finish(h.now, c)
-	h.naive.finish(h.now, c)
+	l.sched.Finish(l.now, c)
+	l.reference.finish(l.now, c)
 }
 
-func (h *history) report(t *rapid.T) {
+func (l *lockstepTest) report(t *rapid.T) {
 	r := LoadReport{
-		Server:  rapid.SampledFrom(h.cfg.Servers).Draw(t, "server").Name,
+		Server:  rapid.SampledFrom(l.cfg.Servers).Draw(t, "server").Name,
 		Running: rapid.IntRange(0, 5).Draw(t, "running"),
 		Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 		Down:    rapid.IntRange(0, 9).Draw(t, "down") == 0,
 	}
-	h.sched.Report(h.now, r)
-	for _, s := range h.naive.servers {
+	l.sched.Report(l.now, r)
+	for _, s := range l.reference.servers {
 		if s.Name == r.Server {
-			s.report(h.now, r, false)
+			s.applyReport(l.now, r, false)
 		}
 	}
-	h.naive.dispatch(h.now)
+	l.reference.dispatch(l.now)
 }
 
-func (h *history) pass(t *rapid.T) {
-	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
-	// The naive version keeps idle accounts for ever.
-	h.sched.cleanedAt = h.now
-	h.sched.Tick(h.now)
-	h.naive.tick(h.now)
+func (l *lockstepTest) passTime(t *rapid.T) {
+	l.now = l.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+	// The reference doesn't evict idle state, so disable eviction in the scheduler.
+	l.sched.lastCleanup = l.now
+	l.sched.Tick(l.now)
+	l.reference.tick(l.now)
 }
 
+// Checks that random histories lead to the same decisions as the reference.
 func TestSchedulerMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := genConfig(t)
-		h := &history{sched: New(cfg, 1), naive: newNaive(cfg), cfg: cfg, now: epoch}
+		l := &lockstepTest{sched: New(cfg, 1), reference: newReferenceScheduler(cfg), cfg: cfg, now: epoch}
 		t.Repeat(map[string]func(*rapid.T){
-			"":        h.check,
-			"reserve": h.reserve,
+			"":        l.check,
+			"reserve": l.reserve,
 			"burst": func(t *rapid.T) {
 				for range rapid.IntRange(2, 8).Draw(t, "n") {
-					h.reserve(t)
+					l.reserve(t)
 				}
 			},
-			"finish": h.finish,
+			"finish": l.finish,
 			"cancel": func(t *rapid.T) {
-				id := h.id(t)
-				h.sched.Cancel(h.now, id)
-				h.naive.cancel(h.now, id)
+				id := l.id(t)
+				l.sched.Cancel(l.now, id)
+				l.reference.cancel(l.now, id)
 			},
 			"start": func(t *rapid.T) {
-				id := h.id(t)
-				h.sched.Start(id)
-				if r := h.naive.find(h.naive.granted, id); r != nil {
+				id := l.id(t)
+				l.sched.Start(id)
+				if r := l.reference.find(l.reference.granted, id); r != nil {
 					r.started = true
 				}
 			},
-			"report": h.report,
-			"pass":   h.pass,
+			"report":    l.report,
+			"pass time": l.passTime,
 		})
 	})
 }
--- a/pkg/scheduler/dispatch.go
+++ b/pkg/scheduler/dispatch.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// dispatch grants as long as a free slot and work that may use it are there.
+// dispatch grants free slots to waiting requests until no request can use a free slot.
 func (s *Scheduler) dispatch(now time.Time) {
 	if len(s.waiting) == 0 {
 		return
@@ -13,197 +13,199 @@
 		if c == nil {
 			return
 		}
-		f, _ := c.serve.min()
+		f, _ := c.eligible.min()
 		r := f.head()
-		sv := s.chooseServer(r, c.allowed&free.set)
-		s.credit(c)
+		sv := s.chooseServer(r, c.allowedServers&free.servers)
+		s.updateFloorCredits(c)
 		s.grant(now, r, sv)
-		free.take(sv, now, s.settling)
+		free.update(sv, now, s.recovering)
 	}
 }
 
-// freeSlots is a snapshot of what can be granted.
+// freeSlots counts the free slots, in total and by server index. servers is the set of
+// servers with a free slot.
 type freeSlots struct {
-	set   serverSet
-	count [MaxServers]int
-	total int
+	servers   serverSet
+	perServer [MaxServers]int
+	total     int
 }
 
 func (s *Scheduler) freeSlots(now time.Time) *freeSlots {
 	f := &freeSlots{}
 	for i, sv := range s.servers {
-		n := sv.free(now, s.settling)
-		f.count[i] = n
+		n := sv.freeSlots(now, s.recovering)
+		f.perServer[i] = n
 		f.total += n
 		if n > 0 {
-			f.set |= 1 << i
+			f.servers |= 1 << i
 		}
 	}
 	return f
 }
 
-func (f *freeSlots) take(sv *server, now time.Time, settling bool) {
-	n := sv.free(now, settling)
-	f.total += n - f.count[sv.index]
-	f.count[sv.index] = n
+func (f *freeSlots) update(sv *server, now time.Time, recovering bool) {
+	n := sv.freeSlots(now, recovering)
+	f.total += n - f.perServer[sv.index]
+	f.perServer[sv.index] = n
 	if n == 0 {
-		f.set &^= 1 << sv.index
+		f.servers &^= 1 << sv.index
 	}
 }
 
-// within counts the free slots on the servers of a set.
-func (f *freeSlots) within(set serverSet) int {
+// countIn returns the number of free slots on the servers in set.
+func (f *freeSlots) countIn(set serverSet) int {
 	n := 0
-	for i := range f.count {
+	for i := range f.perServer {
 		if set.has(i) {
-			n += f.count[i]
+			n += f.perServer[i]
 		}
 	}
 	return n
 }
 
-// nextClass picks the class of the next start. A class that is owed a start by
-// its floor goes first; else the highest tier, and within it the class whose
-// oldest request is closest to its target.
+// nextClass returns the class that starts the next request. A class that is owed a start
+// by its floor goes first. Otherwise the highest tier goes first, and within a tier the
+// class whose next request reaches its first-token target earliest.
 func (s *Scheduler) nextClass(free *freeSlots) *class {
-	var best, due *class
+	var best, owed *class
 	for _, c := range s.classes {
-		if c.serve.Len() == 0 || c.allowed&free.set == 0 {
+		if c.eligible.Len() == 0 || c.allowedServers&free.servers == 0 {
 			continue
 		}
-		if s.owed(c) && (due == nil || s.owedStarts(c) > s.owedStarts(due)) {
-			due = c
+		if s.isOwedStart(c) && (owed == nil || s.owedStarts(c) > s.owedStarts(owed)) {
+			owed = c
 		}
 		if best != nil && best.Tier < c.Tier {
 			continue
 		}
-		if !s.mayUseHeadroom(c) && free.within(c.allowed) <= s.cfg.HeadroomSlots {
+		if !s.mayUseHeadroom(c) && free.countIn(c.allowedServers) <= s.cfg.HeadroomSlots {
 			continue
 		}
-		if best == nil || sooner(c, best) {
+		if best == nil || hasEarlierTarget(c, best) {
 			best = c
 		}
 	}
-	if due != nil {
-		return due
+	if owed != nil {
+		return owed
 	}
 	return best
 }
 
-func (s *Scheduler) owed(c *class) bool {
+func (s *Scheduler) isOwedStart(c *class) bool {
 	return !s.cfg.Ablations.NoFloor && c.Floor > 0 && s.owedStarts(c) >= 1
 }
 
-// owedStarts is the class's credit in starts of its own usual size.
-func (s *Scheduler) owedStarts(c *class) float64 { return c.credit / s.cost(c) }
+// owedStarts is the class's floor credit as a number of its mean requests.
+func (s *Scheduler) owedStarts(c *class) float64 { return c.floorCredit / s.startCost(c) }
 
-// cost is the work of a usual request of the class, in output tokens. A class of
-// which no answer was seen yet counts as usual for the shard: a guess far above
-// the others would keep its first starts from it.
-func (s *Scheduler) cost(c *class) float64 {
-	if c.seenOutput {
-		return max(1, c.meanOutput)
+// startCost is the mean cost of a request of the class in output tokens. Until a request
+// of the class has completed, the mean of the other classes is used, because a much
+// higher estimate would delay its first owed starts.
+func (s *Scheduler) startCost(c *class) float64 {
+	if c.outputKnown {
+		return max(1, c.meanOutputTokens)
 	}
 	sum, n := 0.0, 0
-	for _, o := range s.classes {
-		if o.seenOutput {
-			sum += o.meanOutput
+	for _, other := range s.classes {
+		if other.outputKnown {
+			sum += other.meanOutputTokens
 			n++
 		}
 	}
 	if n == 0 {
-		return initialOutput
+		return initialOutputTokens
 	}
 	return max(1, sum/float64(n))
 }
 
-// mayUseHeadroom holds for the highest tier, or where there is no headroom.
+// mayUseHeadroom reports whether a class may use the last HeadroomSlots free slots.
 func (s *Scheduler) mayUseHeadroom(c *class) bool {
 	return s.cfg.HeadroomSlots == 0 || s.cfg.Ablations.NoHeadroom || c.Tier == s.classes[0].Tier
 }
 
-// sooner compares classes of one tier by when their next request misses its
-// first-token target.
-func sooner(a, b *class) bool {
-	ta, tb := a.nextTarget(), b.nextTarget()
-	if !ta.Equal(tb) {
-		return ta.Before(tb)
+// hasEarlierTarget orders classes of one tier by the first-token target of their next
+// request.
+func hasEarlierTarget(a, b *class) bool {
+	targetA, targetB := a.nextTargetTime(), b.nextTargetTime()
+	if !targetA.Equal(targetB) {
+		return targetA.Before(targetB)
 	}
 	return a.Name < b.Name
 }
 
-func (c *class) nextTarget() time.Time {
-	f, _ := c.serve.min()
+func (c *class) nextTargetTime() time.Time {
+	f, _ := c.eligible.min()
 	return f.head().Arrival.Add(c.FirstTokenTarget)
 }
 
-// maxCredit bounds what a class can be owed, in starts, so that a class that could
-// not run for a while doesn't take the shard over afterwards.
-const maxCredit = 2
+// maxCreditStarts bounds the starts that a class can be owed, so that a class that was
+// blocked for a while doesn't monopolise the shard afterwards.
+const maxCreditStarts = 2
 
-// credit books one start. Every class with work waiting earns its floor of the
-// work that starts; the one that starts pays for it. Counted in starts alone, a
-// class of long answers would take a multiple of its floor.
-func (s *Scheduler) credit(started *class) {
-	work := s.cost(started)
+// updateFloorCredits accounts for a start. Every class with waiting requests is credited
+// with its floor's share of the cost, and the started class is debited with the cost. The
+// cost is measured in tokens because a class with long answers would otherwise get a
+// multiple of its floor.
+func (s *Scheduler) updateFloorCredits(started *class) {
+	cost := s.startCost(started)
 	for _, c := range s.classes {
-		if c.waiting == 0 {
-			c.credit = 0
+		if c.numWaiting == 0 {
+			c.floorCredit = 0
 			continue
 		}
-		c.credit = min(maxCredit*s.cost(c), c.credit+c.Floor*work)
+		c.floorCredit = min(maxCreditStarts*s.startCost(c), c.floorCredit+c.Floor*cost)
 	}
-	started.credit = max(0, started.credit-work)
+	started.floorCredit = max(0, started.floorCredit-cost)
 }
 
-// grant moves a waiting request to a server.
+// grant assigns a slot on a server to a waiting request.
 func (s *Scheduler) grant(now time.Time, r *request, sv *server) {
-	c, o := r.flow.class, r.flow.org
-	s.drop(r)
-	c.starts.count++
+	c, o := r.flow.class, r.flow.organisation
+	s.dequeue(r)
+	c.startRate.count++
 	r.server = sv
 	r.grantedAt = now
-	r.charged = float64(r.PromptTokens) + c.meanOutput
-	r.flow.counter += r.charged / o.weight()
-	c.serve.fix(r.flow)
-	s.hold(now, r)
-	s.unstarted = append(s.unstarted, r)
-	s.prefixes.sent(r.PrefixHashes, sv.Name)
-	s.out.Grants = append(s.out.Grants, Grant{ID: r.ID, Server: sv.Name, Waited: now.Sub(r.Arrival)})
+	r.chargedTokens = float64(r.PromptTokens) + c.meanOutputTokens
+	r.flow.counter += r.chargedTokens / o.weight()
+	c.eligible.fix(r.flow)
+	s.occupySlot(now, r)
+	s.unstartedGrants = append(s.unstartedGrants, r)
+	s.prefixes.record(r.PrefixHashes, sv.Name)
+	s.decisions.Grants = append(s.decisions.Grants, Grant{ID: r.ID, Server: sv.Name, Waited: now.Sub(r.Arrival)})
 }
 
-// hold counts a granted request on its server and organisation.
-func (s *Scheduler) hold(now time.Time, r *request) {
+// occupySlot counts a request against its server and organisation.
+func (s *Scheduler) occupySlot(now time.Time, r *request) {
 	s.granted[r.ID] = r
 	r.server.granted++
-	r.server.notePeak(now)
-	o := r.flow.org
+	r.server.recordPeak(now)
+	o := r.flow.organisation
 	o.running++
-	if o.blocked() {
+	if o.atConcurrencyLimit() {
 		s.block(o)
 	}
 }
 
-// release gives a granted request's slot back.
-func (s *Scheduler) release(now time.Time, r *request) {
+// releaseSlot reverts occupySlot.
+func (s *Scheduler) releaseSlot(now time.Time, r *request) {
 	delete(s.granted, r.ID)
 	r.server.granted--
-	r.flow.org.running--
-	r.flow.org.seen = now
-	s.unblock(r.flow.org)
+	r.flow.organisation.running--
+	r.flow.organisation.lastActive = now
+	s.unblock(r.flow.organisation)
 }
 
-// block keeps an organisation at its concurrency limit from starting more.
+// block makes the flows of an organisation that reached its concurrency limit ineligible.
 func (s *Scheduler) block(o *organisation) {
 	for _, c := range s.classes {
 		if f := c.flows[o.name]; f != nil {
-			c.serve.remove(f)
+			c.eligible.remove(f)
 		}
 	}
 }
 
 func (s *Scheduler) unblock(o *organisation) {
-	if o.blocked() {
+	if o.atConcurrencyLimit() {
 		return
 	}
 	for _, c := range s.classes {
@@ -214,25 +216,25 @@
 }
 
 const (
-	// localityBound: the server with the longest cached prefix is taken while
-	// its load is within this factor of the mean.
-	localityBound = 1.25
-	// localitySlack lets a nearly idle shard keep its locality.
-	localitySlack = 0.1
+	// localityLoadFactor bounds the load of a server that is chosen for its cached prefix,
+	// relative to the mean load.
+	localityLoadFactor = 1.25
+	// localityLoadSlack is added to the bound, so that it isn't too tight at low load.
+	localityLoadSlack = 0.1
 )
 
-// chooseServer picks among the servers of set, which is not empty: the longest
-// cached prefix unless that server is loaded beyond its peers, else the least
-// loaded, counted by own grants.
+// chooseServer returns a server from set, which must not be empty. It prefers the server
+// with the longest cached prefix unless that is overloaded relative to the others, and
+// falls back to the least loaded server.
 func (s *Scheduler) chooseServer(r *request, set serverSet) *server {
-	set = s.without(set, r.AvoidServers)
+	set = s.excludeServers(set, r.AvoidServers)
 	var best *server
 	var bestLoad, sum float64
 	for _, sv := range s.servers {
 		if !set.has(sv.index) {
 			continue
 		}
-		load := sv.load()
+		load := sv.loadAfterStart()
 		sum += load
 		if best == nil || load < bestLoad {
 			best, bestLoad = sv, load
@@ -241,31 +243,31 @@
 	if s.cfg.Ablations.NoPrefix {
 		return best
 	}
-	near := s.index[s.prefixes.longest(r.PrefixHashes)]
-	if near == nil || !set.has(near.index) {
+	cached := s.serverByName[s.prefixes.serverForLongest(r.PrefixHashes)]
+	if cached == nil || !set.has(cached.index) {
 		return best
 	}
 	mean := sum / float64(set.len())
-	if near.load() <= mean*localityBound+localitySlack {
-		return near
+	if cached.loadAfterStart() <= mean*localityLoadFactor+localityLoadSlack {
+		return cached
 	}
 	return best
 }
 
-// load is the share of a server's limit in use after one more start. A slow
-// server's limit is lower (observe), so that speed needs no weight of its own.
-func (s *server) load() float64 { return float64(s.used()+1) / max(1, s.limit) }
+// loadAfterStart is the fraction of the server's limit in use after one more start. The
+// adaptive limit already accounts for the server's speed.
+func (s *server) loadAfterStart() float64 { return float64(s.usedSlots()+1) / max(1, s.limit) }
 
-// without removes the servers to avoid, unless none would be left.
-func (s *Scheduler) without(set serverSet, avoid []string) serverSet {
-	left := set
-	for _, n := range avoid {
-		if sv := s.index[n]; sv != nil {
-			left &^= 1 << sv.index
+// excludeServers removes the servers to avoid from set, unless none would remain.
+func (s *Scheduler) excludeServers(set serverSet, avoid []string) serverSet {
+	remaining := set
+	for _, name := range avoid {
+		if sv := s.serverByName[name]; sv != nil {
+			remaining &^= 1 << sv.index
 		}
 	}
-	if left == 0 {
+	if remaining == 0 {
 		return set
 	}
-	return left
+	return remaining
 }
--- a/pkg/scheduler/doc.go
+++ b/pkg/scheduler/doc.go
@@ -1,7 +1,7 @@
-// Package scheduler is the decision core: it decides which request runs on
-// which backend server and when, which waits, and which is refused.
+// Package scheduler implements admission control, queueing and dispatch of requests to
+// the backend servers of one shard.
 //
-// A Scheduler is a deterministic state machine for one shard. It starts no
-// goroutine, does no I/O and reads no clock: the time comes in as an argument,
-// and decisions are collected with Take. The caller serialises access.
+// A Scheduler is a deterministic state machine. It starts no goroutines, does no I/O
+// and reads no clock: the current time is passed as an argument, and decisions are
+// returned by TakeDecisions. The caller must serialise access.
 package scheduler
--- a/pkg/scheduler/organisation.go
+++ b/pkg/scheduler/organisation.go
@@ -6,18 +6,18 @@
 	"golang.org/x/time/rate"
 )
 
-// organisation is one caller's account on this shard.
+// organisation is the state of one organisation on this shard.
 type organisation struct {
 	name    string
 	limits  Limits
 	running int
-	// requests and tokens enforce the rates; nil means unlimited.
-	requests *rate.Limiter
-	tokens   *rate.Limiter
-	seen     time.Time
+	// requestLimiter and tokenLimiter enforce the rate limits.
+	requestLimiter *rate.Limiter
+	tokenLimiter   *rate.Limiter
+	lastActive     time.Time
 }
 
-// burstSeconds is how many seconds of an organisation's rate it may use at once.
+// burstSeconds is the burst size of a rate limit, in seconds of its rate.
 const burstSeconds = 2
 
 func newOrganisation(name string, l Limits) *organisation {
@@ -27,9 +27,9 @@
 }
 
 func (o *organisation) setLimits(l Limits) {
-	if o.limits != l || o.requests == nil {
-		o.requests = newLimiter(l.RequestsPerSecond)
-		o.tokens = newLimiter(l.TokensPerSecond)
+	if o.limits != l || o.requestLimiter == nil {
+		o.requestLimiter = newLimiter(l.RequestsPerSecond)
+		o.tokenLimiter = newLimiter(l.TokensPerSecond)
 	}
 	o.limits = l
 }
@@ -48,45 +48,46 @@
 	return o.limits.Weight
 }
 
-func (o *organisation) blocked() bool {
+func (o *organisation) atConcurrencyLimit() bool {
 	return o.limits.Concurrency > 0 && o.running >= o.limits.Concurrency
 }
 
-// admit takes one request and its prompt tokens from the organisation's rates.
-// When a rate is used up it returns how long until there is room.
+// admit charges one request and its prompt tokens to the organisation's rate limits. If
+// a limit is exceeded it charges nothing and returns the time until the request fits.
 func (o *organisation) admit(now time.Time, promptTokens int) (wait time.Duration, ok bool) {
-	if w := untilRoom(o.tokens, now, promptTokens); w > 0 {
+	if w := timeUntilAvailable(o.tokenLimiter, now, promptTokens); w > 0 {
 		return w, false
 	}
-	if w := untilRoom(o.requests, now, 1); w > 0 {
+	if w := timeUntilAvailable(o.requestLimiter, now, 1); w > 0 {
 		return w, false
 	}
-	o.tokens.AllowN(now, promptTokens)
-	o.requests.AllowN(now, 1)
+	o.tokenLimiter.AllowN(now, promptTokens)
+	o.requestLimiter.AllowN(now, 1)
 	return 0, true
 }
 
-// charge takes the output tokens after the fact; the balance may go negative.
-func (o *organisation) charge(now time.Time, tokens int) {
-	if o.tokens.Limit() == rate.Inf {
+// chargeOutput charges output tokens once they are known. The token balance may become
+// negative.
+func (o *organisation) chargeOutput(now time.Time, tokens int) {
+	if o.tokenLimiter.Limit() == rate.Inf {
 		return
 	}
 	for tokens > 0 {
-		n := min(tokens, o.tokens.Burst())
-		o.tokens.ReserveN(now, n)
+		n := min(tokens, o.tokenLimiter.Burst())
+		o.tokenLimiter.ReserveN(now, n)
 		tokens -= n
 	}
 }
 
-// untilRoom is how long until l holds n tokens. A request larger than the burst
-// needs a full bucket only.
-func untilRoom(l *rate.Limiter, now time.Time, n int) time.Duration {
+// timeUntilAvailable returns the time until l holds n tokens. A request larger than the
+// burst size only needs a full bucket.
+func timeUntilAvailable(l *rate.Limiter, now time.Time, n int) time.Duration {
 	if l.Limit() == rate.Inf {
 		return 0
 	}
-	short := float64(min(n, l.Burst())) - l.TokensAt(now)
-	if short <= 0 {
+	deficit := float64(min(n, l.Burst())) - l.TokensAt(now)
+	if deficit <= 0 {
 		return 0
 	}
-	return time.Duration(short / float64(l.Limit()) * float64(time.Second))
+	return time.Duration(deficit / float64(l.Limit()) * float64(time.Second))
 }
--- a/pkg/scheduler/prefix.go
+++ b/pkg/scheduler/prefix.go
@@ -2,32 +2,33 @@
 
 import lru "github.com/hashicorp/golang-lru/v2"
 
-// prefixEntries bounds the record of which prefix went where.
-const prefixEntries = 8192
+// maxPrefixEntries bounds the prefixes in a prefixIndex.
+const maxPrefixEntries = 8192
 
-// prefixIndex remembers the server that each prompt prefix was last sent to.
+// prefixIndex is an LRU cache of the server to which each prompt prefix was last sent.
 type prefixIndex struct {
 	servers *lru.Cache[uint64, string]
 }
 
 func newPrefixIndex() *prefixIndex {
-	// The only error is a size below one.
-	cache, _ := lru.New[uint64, string](prefixEntries)
+	// New fails only for a size below one.
+	cache, _ := lru.New[uint64, string](maxPrefixEntries)
 	return &prefixIndex{servers: cache}
 }
 
-// longest returns the server of the longest known prefix, or "".
-func (p *prefixIndex) longest(prefix []uint64) string {
-	for i := len(prefix) - 1; i >= 0; i-- {
-		if s, ok := p.servers.Get(prefix[i]); ok {
+// serverForLongest returns the server of the longest known prefix, or "" if none is
+// known. The hashes are ordered by increasing prefix length.
+func (p *prefixIndex) serverForLongest(hashes []uint64) string {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		if s, ok := p.servers.Get(hashes[i]); ok {
 			return s
 		}
 	}
 	return ""
 }
 
-func (p *prefixIndex) sent(prefix []uint64, server string) {
-	for _, h := range prefix {
+func (p *prefixIndex) record(hashes []uint64, server string) {
+	for _, h := range hashes {
 		p.servers.Add(h, server)
 	}
 }
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// Heaps that a waiting request or a flow stands in.
+// Heap IDs. A waiting request is in the deadline heap; a flow is in the other two.
 const (
 	heapDeadline = 0
-	heapServe    = 0
+	heapEligible = 0
 	heapShed     = 1
 )
 
-// request is a reservation inside the scheduler, waiting or granted.
+// request is a request that is waiting or granted.
 type request struct {
 	Request
 	flow *flow
-	// elem is the place in the flow's list while waiting.
-	elem       *list.Element
-	deadlineAt int
-	// The rest is set at the grant.
+	// elem is the element of the flow's queue while the request waits.
+	elem        *list.Element
+	deadlinePos int
+	// The following fields are set when the request is granted.
 	server    *server
 	grantedAt time.Time
 	started   bool
-	charged   float64
+	// chargedTokens is the estimate that was charged to the flow's counter.
+	chargedTokens float64
 }
 
-func (r *request) place(int) *int { return &r.deadlineAt }
+func (r *request) position(int) *int { return &r.deadlinePos }
 
-// before orders requests of one flow: first arrival first.
-func (r *request) before(o *request) bool {
+// arrivedBefore orders requests by arrival, with the ID as tie-breaker.
+func (r *request) arrivedBefore(o *request) bool {
 	if !r.Arrival.Equal(o.Arrival) {
 		return r.Arrival.Before(o.Arrival)
 	}
@@ -40,30 +41,31 @@
 	return r.ID.Seq < o.ID.Seq
 }
 
-// flow is the waiting work of one organisation in one class.
+// flow is the queue of one organisation in one class.
 type flow struct {
-	class *class
-	org   *organisation
-	// counter is the virtual token counter (Sheng et al., OSDI 2024): weighted
-	// tokens served so far.
-	counter float64
-	queue   *list.List
-	places  [2]int
+	class        *class
+	organisation *organisation
+	// counter is the virtual token counter of fair queueing (Sheng et al., OSDI 2024):
+	// the number of tokens served so far, divided by the organisation's weight.
+	counter   float64
+	queue     *list.List
+	positions [2]int
 }
 
-func (f *flow) place(heap int) *int { return &f.places[heap] }
+func (f *flow) position(heap int) *int { return &f.positions[heap] }
 
 func (f *flow) head() *request { return f.queue.Front().Value.(*request) }
 func (f *flow) tail() *request { return f.queue.Back().Value.(*request) }
 
-// load is the flow's queue relative to its weight: what it is shed by.
-func (f *flow) load() float64 { return float64(f.queue.Len()) / f.org.weight() }
+// weightedLen is the queue length relative to the organisation's weight. The flow with
+// the largest value is shed first.
+func (f *flow) weightedLen() float64 { return float64(f.queue.Len()) / f.organisation.weight() }
 
-// insert keeps the queue in arrival order. A re-registered request may belong
-// further forward, so the search runs from the back.
+// insert adds r in arrival order. It searches from the back because only requests that
+// are registered again may belong further forward.
 func (f *flow) insert(r *request) {
 	for e := f.queue.Back(); e != nil; e = e.Prev() {
-		if e.Value.(*request).before(r) {
+		if e.Value.(*request).arrivedBefore(r) {
 			r.elem = f.queue.InsertAfter(r, e)
 			return
 		}
@@ -71,86 +73,90 @@
 	r.elem = f.queue.PushFront(r)
 }
 
-func servedLess(a, b *flow) bool {
+func counterLess(a, b *flow) bool {
 	if a.counter != b.counter {
 		return a.counter < b.counter
 	}
-	return a.org.name < b.org.name
+	return a.organisation.name < b.organisation.name
 }
 
-func arrivalLess(a, b *flow) bool { return a.head().before(b.head()) }
+func arrivalLess(a, b *flow) bool { return a.head().arrivedBefore(b.head()) }
 
 func shedLess(a, b *flow) bool {
-	if a.load() != b.load() {
-		return a.load() > b.load()
+	if a.weightedLen() != b.weightedLen() {
+		return a.weightedLen() > b.weightedLen()
 	}
-	return a.org.name < b.org.name
+	return a.organisation.name < b.organisation.name
 }
 
 func deadlineLess(a, b *request) bool {
 	if !a.Deadline.Equal(b.Deadline) {
 		return a.Deadline.Before(b.Deadline)
 	}
-	return a.before(b)
+	return a.arrivedBefore(b)
 }
 
-// class is the waiting work of one class.
+// class is a configured class with its queues.
 type class struct {
 	Class
-	allowed serverSet
-	waiting int
-	// credit, in output tokens, grows by the floor at each start while work waits;
-	// when it reaches the work of a usual request the class is owed a start.
-	credit float64
-	flows  map[string]*flow
-	// serve holds the flows that may start a request, shed all that wait.
-	serve       *prioHeap[*flow]
-	shed        *prioHeap[*flow]
+	allowedServers serverSet
+	numWaiting     int
+	// floorCredit, in output tokens, is the work that the floor entitles the class to.
+	// The class is owed a start when it reaches the mean cost of a request.
+	floorCredit float64
+	// flows holds the class's flows by organisation.
+	flows map[string]*flow
+	// eligible holds the non-empty flows whose organisation is below its concurrency
+	// limit, by the order in which they are served.
+	eligible *indexedHeap[*flow]
+	// shedOrder holds all non-empty flows, by the order in which they are shed.
+	shedOrder *indexedHeap[*flow]
+	// idleCounter is the highest counter of a flow that became empty.
 	idleCounter float64
-	// meanOutput is the running mean of output tokens, a guess until one is seen.
-	meanOutput float64
-	seenOutput bool
-	starts     startRate
-	// lastReturn is the last turn that was given to a refused caller.
-	lastReturn time.Time
+	// meanOutputTokens is the running mean of the output tokens of a request, or
+	// initialOutputTokens until outputKnown is set.
+	meanOutputTokens float64
+	outputKnown      bool
+	startRate        startRate
+	// lastRetryAt is the latest retry time that was given to a refused caller.
+	lastRetryAt time.Time
 }
 
-// initialOutput is the guess for a class's output tokens before any is seen.
-const initialOutput = 128
+// initialOutputTokens is the assumed output of a request before any has completed.
+const initialOutputTokens = 128
 
 func newClass(c Class, fair bool) *class {
-	less := servedLess
+	less := counterLess
 	if !fair {
 		less = arrivalLess
 	}
 	return &class{
-		Class:      c,
-		flows:      make(map[string]*flow),
-		serve:      newHeap(heapServe, less),
-		shed:       newHeap(heapShed, shedLess),
-		meanOutput: initialOutput,
+		Class:            c,
+		flows:            make(map[string]*flow),
+		eligible:         newHeap(heapEligible, less),
+		shedOrder:        newHeap(heapShed, shedLess),
+		meanOutputTokens: initialOutputTokens,
 	}
 }
 
-// learn takes the size of a whole answer into the running mean.
-func (c *class) learn(outputTokens int) {
-	if !c.seenOutput {
-		c.meanOutput = float64(outputTokens)
-		c.seenOutput = true
+// recordOutput adds the size of a complete answer to the running mean.
+func (c *class) recordOutput(outputTokens int) {
+	if !c.outputKnown {
+		c.meanOutputTokens = float64(outputTokens)
+		c.outputKnown = true
 	}
-	c.meanOutput += smoothing * (float64(outputTokens) - c.meanOutput)
+	c.meanOutputTokens += smoothingFactor * (float64(outputTokens) - c.meanOutputTokens)
 }
 
-// beyond is how many of the class's waiting requests stand in the shared part
-// of the queue.
-func (c *class) beyond() int { return max(0, c.waiting-c.FloorPlaces) }
+// sharedWaiting is the number of waiting requests that exceed the class's floor places.
+func (c *class) sharedWaiting() int { return max(0, c.numWaiting-c.FloorPlaces) }
 
-// add puts a request in the queue. A flow that becomes active is lifted to the
-// least active counter, so that it can't save up service while idle.
+// add queues a request. The counter of a flow that becomes active is raised to the
+// minimum of the eligible flows, so that a flow can't accumulate service while idle.
 func (c *class) add(o *organisation, r *request) {
 	f := c.flows[o.name]
 	if f == nil {
-		f = &flow{class: c, org: o, queue: list.New()}
+		f = &flow{class: c, organisation: o, queue: list.New()}
 		c.flows[o.name] = f
 	}
 	if f.queue.Len() == 0 {
@@ -158,52 +164,52 @@
 	}
 	r.flow = f
 	f.insert(r)
-	c.waiting++
-	c.shed.add(f)
-	if !o.blocked() {
-		c.serve.add(f)
+	c.numWaiting++
+	c.shedOrder.add(f)
+	if !o.atConcurrencyLimit() {
+		c.eligible.add(f)
 	}
 }
 
-// minCounter is the least counter among the flows that may start. While there is
-// none, it is that of the flow that left last, so that an idle class forgets no
-// service.
+// minCounter is the lowest counter of the eligible flows. If there are none, it is
+// idleCounter, so that the service received before the class became idle still counts.
 func (c *class) minCounter() float64 {
-	if f, ok := c.serve.min(); ok {
+	if f, ok := c.eligible.min(); ok {
 		return f.counter
 	}
 	return c.idleCounter
 }
 
-// remove takes a waiting request out.
+// remove removes a waiting request from its flow.
 func (c *class) remove(r *request) {
 	f := r.flow
 	f.queue.Remove(r.elem)
 	r.elem = nil
-	c.waiting--
+	c.numWaiting--
 	if f.queue.Len() == 0 {
-		c.serve.remove(f)
-		c.shed.remove(f)
+		c.eligible.remove(f)
+		c.shedOrder.remove(f)
 		c.idleCounter = math.Max(c.idleCounter, f.counter)
 		return
 	}
-	c.serve.fix(f)
-	c.shed.fix(f)
+	c.eligible.fix(f)
+	c.shedOrder.fix(f)
 }
 
-// unblock lets a flow start requests again after its organisation fell below
-// its concurrency limit.
+// unblock makes a flow eligible again after its organisation fell below its concurrency
+// limit.
 func (c *class) unblock(f *flow) {
 	if f.queue.Len() > 0 {
-		c.serve.add(f)
+		c.eligible.add(f)
 	}
 }
 
-// forget drops idle flows whose counter a newcomer would get anyway.
-func (c *class) forget() {
-	least := c.minCounter()
+// evictIdleFlows evicts empty flows whose counter would be raised to the minimum anyway
+// when they become active.
+func (c *class) evictIdleFlows() {
+	minCounter := c.minCounter()
 	for name, f := range c.flows {
-		if f.queue.Len() == 0 && f.counter <= least && f.org.running == 0 {
+		if f.queue.Len() == 0 && f.counter <= minCounter && f.organisation.running == 0 {
 			delete(c.flows, name)
 		}
 	}
--- a/pkg/scheduler/reference_test.go
+++ b/pkg/scheduler/reference_test.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// naive decides as the Scheduler should, by scanning everything at each step. It
-// shares the accounts of servers and organisations, and nothing of the queues.
-type naive struct {
-	cfg      Config
-	classes  []Class // highest tier first, then by name
-	servers  []*server
-	orgs     map[string]*organisation
-	waiting  []*naiveRequest
-	granted  []*naiveRequest
-	counters map[[2]string]float64 // class, organisation
-	idle     map[string]float64
-	credit   map[string]float64
-	output   map[string]float64
-	seen     map[string]bool
-	prefix   map[uint64]string
-	meanHeld time.Duration
-	out      Decisions
+// referenceScheduler is a simple model of Scheduler that scans all requests for each
+// decision. It shares the server and organisation types with Scheduler, but no queues.
+type referenceScheduler struct {
+	cfg              Config
+	classes          []Class // highest tier first, then by name
+	servers          []*server
+	organisations    map[string]*organisation
+	waiting          []*referenceRequest
+	granted          []*referenceRequest
+	counters         map[[2]string]float64 // by class and organisation
+	idleCounters     map[string]float64
+	floorCredits     map[string]float64
+	meanOutputTokens map[string]float64
+	outputKnown      map[string]bool
+	prefixServers    map[uint64]string
+	meanSlotTime     time.Duration
+	decisions        Decisions
 }
 
-type naiveRequest struct {
+type referenceRequest struct {
 	Request
-	server    *server
-	grantedAt time.Time
-	started   bool
-	charged   float64
+	server        *server
+	grantedAt     time.Time
+	started       bool
+	chargedTokens float64
 }
 
-func newNaive(cfg Config) *naive {
-	n := &naive{
-		cfg:      cfg,
-		orgs:     make(map[string]*organisation),
-		counters: make(map[[2]string]float64),
-		idle:     make(map[string]float64),
-		credit:   make(map[string]float64),
-		output:   make(map[string]float64),
-		seen:     make(map[string]bool),
-		prefix:   make(map[uint64]string),
+func newReferenceScheduler(cfg Config) *referenceScheduler {
+	ref := &referenceScheduler{
+		cfg:              cfg,
+		organisations:    make(map[string]*organisation),
+		counters:         make(map[[2]string]float64),
+		idleCounters:     make(map[string]float64),
+		floorCredits:     make(map[string]float64),
+		meanOutputTokens: make(map[string]float64),
+		outputKnown:      make(map[string]bool),
+		prefixServers:    make(map[uint64]string),
 	}
 	for i, s := range cfg.Servers {
-		n.servers = append(n.servers, &server{Server: s, index: i, limit: float64(s.Slots)})
+		ref.servers = append(ref.servers, &server{Server: s, index: i, limit: float64(s.Slots)})
 	}
-	n.classes = slices.Clone(cfg.Classes)
-	slices.SortFunc(n.classes, func(a, b Class) int {
+	ref.classes = slices.Clone(cfg.Classes)
+	slices.SortFunc(ref.classes, func(a, b Class) int {
 		if a.Tier != b.Tier {
 			return a.Tier - b.Tier
 		}
@@ -57,14 +57,14 @@
 		}
 		return 1
 	})
-	for _, c := range n.classes {
-		n.output[c.Name] = initialOutput
+	for _, c := range ref.classes {
+		ref.meanOutputTokens[c.Name] = initialOutputTokens
 	}
-	return n
+	return ref
 }
 
-func (n *naive) class(name string) Class {
-	for _, c := range n.classes {
+func (ref *referenceScheduler) class(name string) Class {
+	for _, c := range ref.classes {
 		if c.Name == name {
 			return c
 		}
@@ -72,28 +72,29 @@
 	return Class{}
 }
 
-func (n *naive) org(name string) *organisation {
-	o := n.orgs[name]
+func (ref *referenceScheduler) organisation(name string) *organisation {
+	o := ref.organisations[name]
 	if o == nil {
-		o = newOrganisation(name, n.cfg.Limits(name))
-		n.orgs[name] = o
+		o = newOrganisation(name, ref.cfg.Limits(name))
+		ref.organisations[name] = o
 	}
 	return o
 }
 
-func (n *naive) allows(c Class, s *server) bool {
+func (ref *referenceScheduler) allows(c Class, s *server) bool {
 	return len(c.Servers) == 0 || slices.Contains(c.Servers, s.Name)
 }
 
-// of returns a class's waiting requests in arrival order; org "" means all.
-func (n *naive) of(class, org string) []*naiveRequest {
-	var list []*naiveRequest
-	for _, r := range n.waiting {
+// waitingOf returns a class's waiting requests in arrival order. An empty org selects all
+// organisations.
+func (ref *referenceScheduler) waitingOf(class, org string) []*referenceRequest {
+	var list []*referenceRequest
+	for _, r := range ref.waiting {
 		if r.Class == class && (org == "" || r.Organisation == org) {
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *naiveRequest) int {
+	slices.SortFunc(list, func(a, b *referenceRequest) int {
 		if c := a.Arrival.Compare(b.Arrival); c != 0 {
 			return c
 		}
@@ -102,11 +103,12 @@
 	return list
 }
 
-// active lists a class's organisations with waiting work that may start, by name.
-func (n *naive) active(class string, blocked bool) []string {
+// organisationsWaiting returns the sorted names of the organisations with waiting requests
+// in a class. Those at their concurrency limit are included only if includeBlocked is set.
+func (ref *referenceScheduler) organisationsWaiting(class string, includeBlocked bool) []string {
 	var names []string
-	for _, r := range n.of(class, "") {
-		if blocked || !n.org(r.Organisation).blocked() {
+	for _, r := range ref.waitingOf(class, "") {
+		if includeBlocked || !ref.organisation(r.Organisation).atConcurrencyLimit() {
 			names = append(names, r.Organisation)
 		}
 	}
@@ -114,19 +116,19 @@
 	return slices.Compact(names)
 }
 
-func (n *naive) minCounter(class string) float64 {
-	least := math.Inf(1)
-	for _, o := range n.active(class, false) {
-		least = math.Min(least, n.counters[[2]string{class, o}])
+func (ref *referenceScheduler) minCounter(class string) float64 {
+	lowest := math.Inf(1)
+	for _, o := range ref.organisationsWaiting(class, false) {
+		lowest = math.Min(lowest, ref.counters[[2]string{class, o}])
 	}
-	if math.IsInf(least, 1) {
-		return n.idle[class]
+	if math.IsInf(lowest, 1) {
+		return ref.idleCounters[class]
 	}
-	return least
+	return lowest
 }
 
-func (n *naive) known(id ID) bool {
-	for _, r := range append(slices.Clone(n.waiting), n.granted...) {
+func (ref *referenceScheduler) known(id ID) bool {
+	for _, r := range append(slices.Clone(ref.waiting), ref.granted...) {
 		if r.ID == id {
 			return true
 		}
@@ -134,104 +136,106 @@
 	return false
 }
 
-func (n *naive) refuse(r Request, reason Reason) {
-	n.out.Refusals = append(n.out.Refusals, Refusal{ID: r.ID, Reason: reason})
+func (ref *referenceScheduler) refuse(r Request, reason Reason) {
+	ref.decisions.Refusals = append(ref.decisions.Refusals, Refusal{ID: r.ID, Reason: reason})
 }
 
-func (n *naive) reserve(now time.Time, q Request) {
-	if n.known(q.ID) {
+func (ref *referenceScheduler) reserve(now time.Time, req Request) {
+	if ref.known(req.ID) {
 		return
 	}
-	c := n.class(q.Class)
-	if _, ok := n.org(q.Organisation).admit(now, q.PromptTokens); !ok {
-		n.refuse(q, ReasonLimit)
+	c := ref.class(req.Class)
+	if _, ok := ref.organisation(req.Organisation).admit(now, req.PromptTokens); !ok {
+		ref.refuse(req, ReasonLimit)
 		return
 	}
-	if n.hopeless(now, q, c) {
-		n.refuse(q, ReasonDeadline)
+	if ref.wouldMissDeadline(now, req, c) {
+		ref.refuse(req, ReasonDeadline)
 		return
 	}
-	key := [2]string{q.Class, q.Organisation}
-	if len(n.of(q.Class, q.Organisation)) == 0 {
-		n.counters[key] = math.Max(n.counters[key], n.minCounter(q.Class))
+	key := [2]string{req.Class, req.Organisation}
+	if len(ref.waitingOf(req.Class, req.Organisation)) == 0 {
+		ref.counters[key] = math.Max(ref.counters[key], ref.minCounter(req.Class))
 	}
-	n.waiting = append(n.waiting, &naiveRequest{Request: q})
-	if n.beyond(c) > 0 && n.allBeyond() > n.cfg.QueueLimit {
-		v := n.victim()
-		n.drop(v)
-		n.refuse(v.Request, ReasonQueueFull)
+	ref.waiting = append(ref.waiting, &referenceRequest{Request: req})
+	if ref.sharedWaiting(c) > 0 && ref.totalSharedWaiting() > ref.cfg.QueueLimit {
+		victim := ref.victim()
+		ref.dequeue(victim)
+		ref.refuse(victim.Request, ReasonQueueFull)
 	}
-	n.dispatch(now)
+	ref.dispatch(now)
 }
 
-func (n *naive) hopeless(now time.Time, q Request, c Class) bool {
-	if q.Deadline.IsZero() || len(n.of(c.Name, "")) < c.FloorPlaces || n.meanHeld == 0 {
+func (ref *referenceScheduler) wouldMissDeadline(now time.Time, req Request, c Class) bool {
+	if req.Deadline.IsZero() || len(ref.waitingOf(c.Name, "")) < c.FloorPlaces || ref.meanSlotTime == 0 {
 		return false
 	}
 	ahead, slots := 0, 0
-	for _, r := range n.waiting {
-		if n.class(r.Class).Tier <= c.Tier {
+	for _, r := range ref.waiting {
+		if ref.class(r.Class).Tier <= c.Tier {
 			ahead++
 		}
 	}
-	for _, s := range n.servers {
-		if n.allows(c, s) && !s.Leaving && !s.leaving && !s.down {
+	for _, s := range ref.servers {
+		if ref.allows(c, s) && !s.Leaving && !s.reportedLeaving && !s.down {
 			slots += int(s.limit)
 		}
 	}
-	wait := time.Duration(ahead) * n.meanHeld / time.Duration(max(1, slots))
-	return now.Add(wait).After(q.Deadline)
+	wait := time.Duration(ahead) * ref.meanSlotTime / time.Duration(max(1, slots))
+	return now.Add(wait).After(req.Deadline)
 }
 
-func (n *naive) beyond(c Class) int { return max(0, len(n.of(c.Name, ""))-c.FloorPlaces) }
+func (ref *referenceScheduler) sharedWaiting(c Class) int {
+	return max(0, len(ref.waitingOf(c.Name, ""))-c.FloorPlaces)
+}
 
-func (n *naive) allBeyond() int {
+func (ref *referenceScheduler) totalSharedWaiting() int {
 	sum := 0
-	for _, c := range n.classes {
-		sum += n.beyond(c)
+	for _, c := range ref.classes {
+		sum += ref.sharedWaiting(c)
 	}
 	return sum
 }
 
-// victim scans for the lowest tier beyond its floor places, its class furthest
-// over its guarantee, that class's organisation with most waiting for its weight,
-// and its newest request.
-func (n *naive) victim() *naiveRequest {
+// victim selects the lowest tier with requests outside floor places, its class that exceeds
+// its guaranteed places most, that class's organisation with the longest queue relative to
+// its weight, and the newest request of that queue.
+func (ref *referenceScheduler) victim() *referenceRequest {
 	lowest := 0
-	for _, c := range n.classes {
-		if n.beyond(c) > 0 {
+	for _, c := range ref.classes {
+		if ref.sharedWaiting(c) > 0 {
 			lowest = max(lowest, c.Tier)
 		}
 	}
 	var worst *Class
-	for i := len(n.classes) - 1; i >= 0; i-- {
-		c := &n.classes[i]
-		if c.Tier != lowest || n.beyond(*c) == 0 {
+	for i := len(ref.classes) - 1; i >= 0; i-- {
+		c := &ref.classes[i]
+		if c.Tier != lowest || ref.sharedWaiting(*c) == 0 {
 			continue
 		}
-		if worst == nil || len(n.of(c.Name, ""))-c.GuaranteedPlaces > len(n.of(worst.Name, ""))-worst.GuaranteedPlaces {
+		if worst == nil || len(ref.waitingOf(c.Name, ""))-c.GuaranteedPlaces > len(ref.waitingOf(worst.Name, ""))-worst.GuaranteedPlaces {
 			worst = c
 		}
 	}
-	best, load := "", -1.0
-	for _, o := range n.active(worst.Name, true) {
-		if l := float64(len(n.of(worst.Name, o))) / n.org(o).weight(); l > load {
-			best, load = o, l
+	best, longest := "", -1.0
+	for _, o := range ref.organisationsWaiting(worst.Name, true) {
+		if weightedLen := float64(len(ref.waitingOf(worst.Name, o))) / ref.organisation(o).weight(); weightedLen > longest {
+			best, longest = o, weightedLen
 		}
 	}
-	list := n.of(worst.Name, best)
+	list := ref.waitingOf(worst.Name, best)
 	return list[len(list)-1]
 }
 
-func (n *naive) drop(r *naiveRequest) {
-	n.waiting = slices.DeleteFunc(n.waiting, func(x *naiveRequest) bool { return x == r })
-	if len(n.of(r.Class, r.Organisation)) == 0 {
+func (ref *referenceScheduler) dequeue(r *referenceRequest) {
+	ref.waiting = slices.DeleteFunc(ref.waiting, func(x *referenceRequest) bool { return x == r })
+	if len(ref.waitingOf(r.Class, r.Organisation)) == 0 {
 		key := [2]string{r.Class, r.Organisation}
-		n.idle[r.Class] = math.Max(n.idle[r.Class], n.counters[key])
+		ref.idleCounters[r.Class] = math.Max(ref.idleCounters[r.Class], ref.counters[key])
 	}
 }
 
-func (n *naive) find(list []*naiveRequest, id ID) *naiveRequest {
+func (ref *referenceScheduler) find(list []*referenceRequest, id ID) *referenceRequest {
 	for _, r := range list {
 		if r.ID == id {
 			return r
@@ -240,65 +244,65 @@
 	return nil
 }
 
-func (n *naive) cancel(now time.Time, id ID) {
-	if r := n.find(n.waiting, id); r != nil {
-		n.drop(r)
+func (ref *referenceScheduler) cancel(now time.Time, id ID) {
+	if r := ref.find(ref.waiting, id); r != nil {
+		ref.dequeue(r)
 		return
 	}
-	if r := n.find(n.granted, id); r != nil {
-		n.release(r)
-		n.dispatch(now)
+	if r := ref.find(ref.granted, id); r != nil {
+		ref.releaseSlot(r)
+		ref.dispatch(now)
 	}
 }
 
-func (n *naive) release(r *naiveRequest) {
-	n.granted = slices.DeleteFunc(n.granted, func(x *naiveRequest) bool { return x == r })
+func (ref *referenceScheduler) releaseSlot(r *referenceRequest) {
+	ref.granted = slices.DeleteFunc(ref.granted, func(x *referenceRequest) bool { return x == r })
 	r.server.granted--
-	n.org(r.Organisation).running--
+	ref.organisation(r.Organisation).running--
 }
 
-func (n *naive) finish(now time.Time, c Completion) {
-	r := n.find(n.granted, c.ID)
+func (ref *referenceScheduler) finish(now time.Time, c Completion) {
+	r := ref.find(ref.granted, c.ID)
 	if r == nil {
 		return
 	}
-	o := n.org(r.Organisation)
-	n.counters[[2]string{r.Class, r.Organisation}] += (float64(c.PromptTokens+c.OutputTokens) - r.charged) / o.weight()
-	o.charge(now, c.OutputTokens)
+	o := ref.organisation(r.Organisation)
+	ref.counters[[2]string{r.Class, r.Organisation}] += (float64(c.PromptTokens+c.OutputTokens) - r.chargedTokens) / o.weight()
+	o.chargeOutput(now, c.OutputTokens)
 	switch c.Result {
 	case ResultFailed:
-		r.server.fail(now)
+		r.server.recordFailure(now)
 	case ResultDone:
-		r.server.succeed()
-		held := now.Sub(r.grantedAt)
-		if n.meanHeld == 0 {
-			n.meanHeld = held
+		r.server.recordSuccess()
+		slotTime := now.Sub(r.grantedAt)
+		if ref.meanSlotTime == 0 {
+			ref.meanSlotTime = slotTime
 		}
-		n.meanHeld += time.Duration(heldSmoothing * float64(held-n.meanHeld))
-		if !n.seen[r.Class] {
-			n.output[r.Class], n.seen[r.Class] = float64(c.OutputTokens), true
+		ref.meanSlotTime += time.Duration(slotTimeSmoothing * float64(slotTime-ref.meanSlotTime))
+		if !ref.outputKnown[r.Class] {
+			ref.meanOutputTokens[r.Class], ref.outputKnown[r.Class] = float64(c.OutputTokens), true
 		}
-		n.output[r.Class] += smoothing * (float64(c.OutputTokens) - n.output[r.Class])
-		n.observe(now, r, c)
+		ref.meanOutputTokens[r.Class] += smoothingFactor * (float64(c.OutputTokens) - ref.meanOutputTokens[r.Class])
+		ref.observeLatency(now, r, c)
 	}
-	n.release(r)
-	n.dispatch(now)
+	ref.releaseSlot(r)
+	ref.dispatch(now)
 }
 
-func (n *naive) observe(now time.Time, r *naiveRequest, c Completion) {
+func (ref *referenceScheduler) observeLatency(now time.Time, r *referenceRequest, c Completion) {
 	var target time.Duration
-	for _, k := range n.classes {
-		if k.InterTokenTarget > 0 && n.allows(k, r.server) && (target == 0 || k.InterTokenTarget < target) {
-			target = k.InterTokenTarget
+	for _, class := range ref.classes {
+		if class.InterTokenTarget > 0 && ref.allows(class, r.server) && (target == 0 || class.InterTokenTarget < target) {
+			target = class.InterTokenTarget
 		}
 	}
-	r.server.observe(now, r.grantedAt, c.InterTokenLatency, target, true)
+	r.server.observeLatency(now, r.grantedAt, c.InterTokenLatency, target, true)
 }
 
-func (n *naive) tick(now time.Time) {
+func (ref *referenceScheduler) tick(now time.Time) {
 	for {
-		var first *naiveRequest
-		for _, r := range n.waiting {
+		var first *referenceRequest
+		for _, r := range ref.waiting {
 			if r.Deadline.IsZero() || now.Before(r.Deadline) {
 				continue
 			}
@@ -309,139 +313,141 @@
 		if first == nil {
 			break
 		}
-		n.drop(first)
-		n.refuse(first.Request, ReasonDeadline)
+		ref.dequeue(first)
+		ref.refuse(first.Request, ReasonDeadline)
 	}
-	for _, r := range slices.Clone(n.granted) {
+	for _, r := range slices.Clone(ref.granted) {
 		if !r.started && now.Sub(r.grantedAt) >= StartTimeout {
-			n.release(r)
+			ref.releaseSlot(r)
 		}
 	}
-	n.dispatch(now)
+	ref.dispatch(now)
 }
 
-func (n *naive) dispatch(now time.Time) {
+func (ref *referenceScheduler) dispatch(now time.Time) {
 	for {
-		c := n.nextClass(now)
+		c := ref.nextClass(now)
 		if c == nil {
 			return
 		}
-		r := n.nextRequest(c.Name)
-		s := n.chooseServer(now, r, *c)
-		for _, k := range n.classes {
-			if len(n.of(k.Name, "")) == 0 {
-				n.credit[k.Name] = 0
+		r := ref.nextRequest(c.Name)
+		s := ref.chooseServer(now, r, *c)
+		for _, other := range ref.classes {
+			if len(ref.waitingOf(other.Name, "")) == 0 {
+				ref.floorCredits[other.Name] = 0
 				continue
 			}
-			n.credit[k.Name] = math.Min(maxCredit*n.cost(k.Name), n.credit[k.Name]+k.Floor*n.cost(c.Name))
+			ref.floorCredits[other.Name] = math.Min(maxCreditStarts*ref.startCost(other.Name), ref.floorCredits[other.Name]+other.Floor*ref.startCost(c.Name))
 		}
-		n.credit[c.Name] = math.Max(0, n.credit[c.Name]-n.cost(c.Name))
-		n.drop(r)
+		ref.floorCredits[c.Name] = math.Max(0, ref.floorCredits[c.Name]-ref.startCost(c.Name))
+		ref.dequeue(r)
 		r.server, r.grantedAt = s, now
-		r.charged = float64(r.PromptTokens) + n.output[r.Class]
-		n.counters[[2]string{r.Class, r.Organisation}] += r.charged / n.org(r.Organisation).weight()
+		r.chargedTokens = float64(r.PromptTokens) + ref.meanOutputTokens[r.Class]
+		ref.counters[[2]string{r.Class, r.Organisation}] += r.chargedTokens / ref.organisation(r.Organisation).weight()
 		s.granted++
-		s.notePeak(now)
-		n.org(r.Organisation).running++
-		n.granted = append(n.granted, r)
+		s.recordPeak(now)
+		ref.organisation(r.Organisation).running++
+		ref.granted = append(ref.granted, r)
 		for _, h := range r.PrefixHashes {
-			n.prefix[h] = s.Name
+			ref.prefixServers[h] = s.Name
 		}
-		n.out.Grants = append(n.out.Grants, Grant{ID: r.ID, Server: s.Name, Waited: now.Sub(r.Arrival)})
+		ref.decisions.Grants = append(ref.decisions.Grants, Grant{ID: r.ID, Server: s.Name, Waited: now.Sub(r.Arrival)})
 	}
 }
 
-func (n *naive) cost(class string) float64 {
-	if n.seen[class] || len(n.seen) == 0 {
-		return math.Max(1, n.output[class])
+func (ref *referenceScheduler) startCost(class string) float64 {
+	if ref.outputKnown[class] || len(ref.outputKnown) == 0 {
+		return math.Max(1, ref.meanOutputTokens[class])
 	}
 	sum := 0.0
-	for _, c := range n.classes {
-		if n.seen[c.Name] {
-			sum += n.output[c.Name]
+	for _, c := range ref.classes {
+		if ref.outputKnown[c.Name] {
+			sum += ref.meanOutputTokens[c.Name]
 		}
 	}
-	return math.Max(1, sum/float64(len(n.seen)))
+	return math.Max(1, sum/float64(len(ref.outputKnown)))
 }
 
-func (n *naive) owed(class string) float64 { return n.credit[class] / n.cost(class) }
+func (ref *referenceScheduler) owedStarts(class string) float64 {
+	return ref.floorCredits[class] / ref.startCost(class)
+}
 
-func (n *naive) free(now time.Time, c Class) int {
+func (ref *referenceScheduler) freeSlots(now time.Time, c Class) int {
 	sum := 0
-	for _, s := range n.servers {
-		if n.allows(c, s) {
-			sum += s.free(now, false)
+	for _, s := range ref.servers {
+		if ref.allows(c, s) {
+			sum += s.freeSlots(now, false)
 		}
 	}
 	return sum
 }
 
-func (n *naive) nextClass(now time.Time) *Class {
-	var due, best *Class
-	for i := range n.classes {
-		c := &n.classes[i]
-		free := n.free(now, *c)
-		if len(n.active(c.Name, false)) == 0 || free == 0 {
+func (ref *referenceScheduler) nextClass(now time.Time) *Class {
+	var owed, best *Class
+	for i := range ref.classes {
+		c := &ref.classes[i]
+		free := ref.freeSlots(now, *c)
+		if len(ref.organisationsWaiting(c.Name, false)) == 0 || free == 0 {
 			continue
 		}
-		if n.owed(c.Name) >= 1 && (due == nil || n.owed(c.Name) > n.owed(due.Name)) {
-			due = c
+		if ref.owedStarts(c.Name) >= 1 && (owed == nil || ref.owedStarts(c.Name) > ref.owedStarts(owed.Name)) {
+			owed = c
 		}
-		if c.Tier > n.classes[0].Tier && free <= n.cfg.HeadroomSlots && n.cfg.HeadroomSlots > 0 {
+		if c.Tier > ref.classes[0].Tier && free <= ref.cfg.HeadroomSlots && ref.cfg.HeadroomSlots > 0 {
 			continue
 		}
-		if best == nil || (c.Tier == best.Tier && n.target(c).Before(n.target(best))) {
+		if best == nil || (c.Tier == best.Tier && ref.nextTargetTime(c).Before(ref.nextTargetTime(best))) {
 			best = c
 		}
 	}
-	if due != nil {
-		return due
+	if owed != nil {
+		return owed
 	}
 	return best
 }
 
-func (n *naive) target(c *Class) time.Time {
-	return n.nextRequest(c.Name).Arrival.Add(c.FirstTokenTarget)
+func (ref *referenceScheduler) nextTargetTime(c *Class) time.Time {
+	return ref.nextRequest(c.Name).Arrival.Add(c.FirstTokenTarget)
 }
 
-func (n *naive) nextRequest(class string) *naiveRequest {
-	best, least := "", math.Inf(1)
-	for _, o := range n.active(class, false) {
-		if k := n.counters[[2]string{class, o}]; k < least {
-			best, least = o, k
+func (ref *referenceScheduler) nextRequest(class string) *referenceRequest {
+	best, lowest := "", math.Inf(1)
+	for _, o := range ref.organisationsWaiting(class, false) {
+		if counter := ref.counters[[2]string{class, o}]; counter < lowest {
+			best, lowest = o, counter
 		}
 	}
-	return n.of(class, best)[0]
+	return ref.waitingOf(class, best)[0]
 }
 
-func (n *naive) chooseServer(now time.Time, r *naiveRequest, c Class) *server {
+func (ref *referenceScheduler) chooseServer(now time.Time, r *referenceRequest, c Class) *server {
 	var free []*server
-	for _, s := range n.servers {
-		if n.allows(c, s) && s.free(now, false) > 0 {
+	for _, s := range ref.servers {
+		if ref.allows(c, s) && s.freeSlots(now, false) > 0 {
 			free = append(free, s)
 		}
 	}
-	kept := slices.DeleteFunc(slices.Clone(free), func(s *server) bool { return slices.Contains(r.AvoidServers, s.Name) })
-	if len(kept) > 0 {
-		free = kept
+	notAvoided := slices.DeleteFunc(slices.Clone(free), func(s *server) bool { return slices.Contains(r.AvoidServers, s.Name) })
+	if len(notAvoided) > 0 {
+		free = notAvoided
 	}
-	load := func(s *server) float64 {
-		return float64(s.used()+1) / math.Max(1, s.limit)
+	loadAfterStart := func(s *server) float64 {
+		return float64(s.usedSlots()+1) / math.Max(1, s.limit)
 	}
 	best, sum := free[0], 0.0
 	for _, s := range free {
-		sum += load(s)
-		if load(s) < load(best) {
+		sum += loadAfterStart(s)
+		if loadAfterStart(s) < loadAfterStart(best) {
 			best = s
 		}
 	}
 	for i := len(r.PrefixHashes) - 1; i >= 0; i-- {
-		name, ok := n.prefix[r.PrefixHashes[i]]
+		name, ok := ref.prefixServers[r.PrefixHashes[i]]
 		if !ok {
 			continue
 		}
 		for _, s := range free {
-			if s.Name == name && load(s) <= sum/float64(len(free))*localityBound+localitySlack {
+			if s.Name == name && loadAfterStart(s) <= sum/float64(len(free))*localityLoadFactor+localityLoadSlack {
 				return s
 			}
 		}
--- a/pkg/scheduler/scheduler.go
+++ b/pkg/scheduler/scheduler.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// StartTimeout is how long a grant may stay unused before its slot is taken
-	// back.
+	// StartTimeout is how long a granted request may take to start before its slot is
+	// released.
 	StartTimeout = 2 * time.Second
 	// RecoveryTimeout bounds how long a new owner waits for entry boxes to register.
 	RecoveryTimeout = time.Second
-	// housekeeping is how often idle accounts are dropped.
-	housekeeping = 10 * time.Second
-	// idleOrganisation is how long an account without work is kept.
-	idleOrganisation = time.Minute
+	// cleanupInterval is how often idle flows and organisations are evicted.
+	cleanupInterval = 10 * time.Second
+	// idleOrganisationTTL is how long the state of an idle organisation is kept.
+	idleOrganisationTTL = time.Minute
 )
 
-// Scheduler decides for one shard. It is not safe for concurrent use.
+// Scheduler schedules the requests of one shard. It is not safe for concurrent use.
 type Scheduler struct {
-	cfg     Config
-	classes []*class // highest tier first, then by name
-	byName  map[string]*class
-	servers []*server
-	index   map[string]*server
-	orgs    map[string]*organisation
-	waiting map[ID]*request
-	granted map[ID]*request
-	// unstarted holds grants in the order given until they start or expire.
-	unstarted []*request
-	deadlines *prioHeap[*request]
-	prefixes  *prefixIndex
-	// meanHeld is the running mean of the time that a request holds its slot.
-	meanHeld  time.Duration
-	rng       *rand.Rand
-	settleEnd time.Time
-	settling  bool
-	cleanedAt time.Time
-	out       Decisions
+	cfg           Config
+	classes       []*class // highest tier first, then by name
+	classByName   map[string]*class
+	servers       []*server
+	serverByName  map[string]*server
+	organisations map[string]*organisation
+	waiting       map[ID]*request
+	granted       map[ID]*request
+	// unstartedGrants holds grants in order until they start, end or expire.
+	unstartedGrants []*request
+	deadlines       *indexedHeap[*request]
+	prefixes        *prefixIndex
+	// meanSlotTime is the running mean of the time that a request occupies its slot.
+	meanSlotTime time.Duration
+	rng          *rand.Rand
+	recoveryEnd  time.Time
+	recovering   bool
+	lastCleanup  time.Time
+	decisions    Decisions
 }
 
-// New returns a scheduler for cfg. The seed feeds the jitter of Retry-After.
+// New returns a scheduler for cfg. The seed determines the jitter of Retry-After.
 func New(cfg Config, seed uint64) *Scheduler {
 	s := &Scheduler{
-		byName:    make(map[string]*class),
-		index:     make(map[string]*server),
-		orgs:      make(map[string]*organisation),
-		waiting:   make(map[ID]*request),
-		granted:   make(map[ID]*request),
-		deadlines: newHeap(heapDeadline, deadlineLess),
-		prefixes:  newPrefixIndex(),
-		rng:       rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-	}
-	// No class is there yet, so nothing can be refused.
+		classByName:   make(map[string]*class),
+		serverByName:  make(map[string]*server),
+		organisations: make(map[string]*organisation),
+		waiting:       make(map[ID]*request),
+		granted:       make(map[ID]*request),
+		deadlines:     newHeap(heapDeadline, deadlineLess),
+		prefixes:      newPrefixIndex(),
+		rng:           rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+	}
+	// The time is used only for refusals, and no requests are waiting yet.
 	s.configure(time.Time{}, cfg)
 	return s
 }
 
-// Configure puts a new configuration in force. Waiting work of a class that is
-// gone is refused; what runs goes on.
+// Configure applies a new configuration. Waiting requests of removed classes are refused;
+// running requests are not affected.
 func (s *Scheduler) Configure(now time.Time, cfg Config) {
 	s.configure(now, cfg)
 	s.dispatch(now)
@@ -70,7 +70,7 @@
 	s.cfg = cfg
 	s.configureServers(cfg.Servers)
 	s.configureClasses(now, cfg.Classes)
-	for _, o := range s.orgs {
+	for _, o := range s.organisations {
 		o.setLimits(s.limits(o.name))
 		s.unblock(o)
 	}
@@ -80,42 +80,42 @@
 	if len(servers) > MaxServers {
 		servers = servers[:MaxServers]
 	}
-	index := make(map[string]*server, len(servers))
+	byName := make(map[string]*server, len(servers))
 	list := make([]*server, 0, len(servers))
-	for i, c := range servers {
-		sv := s.index[c.Name]
+	for i, cfg := range servers {
+		sv := s.serverByName[cfg.Name]
 		if sv == nil {
-			sv = &server{limit: float64(c.Slots)}
+			sv = &server{limit: float64(cfg.Slots)}
 		}
-		if sv.Slots != c.Slots {
-			sv.limit = float64(c.Slots)
+		if sv.Slots != cfg.Slots {
+			sv.limit = float64(cfg.Slots)
 		}
-		sv.Server = c
+		sv.Server = cfg
 		sv.index = i
-		index[c.Name] = sv
+		byName[cfg.Name] = sv
 		list = append(list, sv)
 	}
-	s.index, s.servers = index, list
+	s.serverByName, s.servers = byName, list
 }
 
 func (s *Scheduler) configureClasses(now time.Time, classes []Class) {
 	byName := make(map[string]*class, len(classes))
 	list := make([]*class, 0, len(classes))
-	for _, cc := range classes {
-		c := s.byName[cc.Name]
+	for _, cfg := range classes {
+		c := s.classByName[cfg.Name]
 		if c == nil {
-			c = newClass(cc, !s.cfg.Ablations.NoFairness)
+			c = newClass(cfg, !s.cfg.Ablations.NoFairness)
 		}
-		c.Class = cc
-		c.allowed = s.allowedServers(cc.Servers)
-		byName[cc.Name] = c
+		c.Class = cfg
+		c.allowedServers = s.allowedServers(cfg.Servers)
+		byName[cfg.Name] = c
 		list = append(list, c)
 	}
 	slices.SortFunc(list, func(a, b *class) int {
 		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Name, b.Name))
 	})
 	old := s.classes
-	s.classes, s.byName = list, byName
+	s.classes, s.classByName = list, byName
 	for _, c := range old {
 		if byName[c.Name] == nil {
 			s.refuseAll(now, c, ReasonUnknownClass)
@@ -128,8 +128,8 @@
 	if len(names) == 0 {
 		return serverSet(1)<<len(s.servers) - 1
 	}
-	for _, n := range names {
-		if sv := s.index[n]; sv != nil {
+	for _, name := range names {
+		if sv := s.serverByName[name]; sv != nil {
 			set |= 1 << sv.index
 		}
 	}
@@ -147,164 +147,165 @@
 // or RecoveryTimeout has passed, requests are granted only to servers that have reported
 // their load, and only up to the capacity that the reports and registrations leave free.
 func (s *Scheduler) BeginRecovery(now time.Time) {
-	s.settling = true
-	s.settleEnd = now.Add(RecoveryTimeout)
+	s.recovering = true
+	s.recoveryEnd = now.Add(RecoveryTimeout)
 }
 
 // EndRecovery ends the recovery early, once every live entry box has registered.
 func (s *Scheduler) EndRecovery(now time.Time) {
-	s.endSettling(now)
+	s.endRecovery(now)
 	s.dispatch(now)
 }
 
-// owedAfter is how long work has waited when a new owner counts its class as owed
-// a start. What the class had earned with owners before is not known; without
-// this, owners that change faster than a floor adds up would starve it.
-const owedAfter = 2 * time.Second
+// floorOwedAfter is the waiting time after which a class is owed a start at the end of a
+// recovery. The floor credits of the previous owner are lost, so a class would starve if
+// owners changed faster than its credit accumulates.
+const floorOwedAfter = 2 * time.Second
 
-func (s *Scheduler) endSettling(now time.Time) {
-	s.settling = false
+func (s *Scheduler) endRecovery(now time.Time) {
+	s.recovering = false
 	for _, c := range s.classes {
 		for _, f := range c.flows {
-			if f.queue.Len() > 0 && now.Sub(f.head().Arrival) > owedAfter {
-				c.credit = max(c.credit, s.cost(c))
+			if f.queue.Len() > 0 && now.Sub(f.head().Arrival) > floorOwedAfter {
+				c.floorCredit = max(c.floorCredit, s.startCost(c))
 			}
 		}
 	}
 }
 
 // Recovering reports whether the recovery is still in progress.
-func (s *Scheduler) Recovering() bool { return s.settling }
+func (s *Scheduler) Recovering() bool { return s.recovering }
 
-// Reserve asks for a slot. Exactly one grant or refusal answers it, unless it is
-// cancelled first. Reserving a known ID again has no effect.
+// Reserve requests a slot. The request gets exactly one grant or refusal unless it is
+// cancelled first. Reserving a known ID has no effect.
 func (s *Scheduler) Reserve(now time.Time, r Request) {
 	s.reserve(now, r, true)
 	s.dispatch(now)
 }
 
-// Register takes in a waiting request that another owner had admitted. It does
-// not count against the organisation's rates again.
+// Register adds a waiting request that a previous owner admitted. It is not charged to the
+// organisation's rate limits again.
 func (s *Scheduler) Register(now time.Time, r Request) {
 	s.reserve(now, r, false)
 }
 
-// RegisterRunning takes in a request that runs on a server by another owner's
-// grant.
+// RegisterRunning adds a running request that a previous owner granted.
 func (s *Scheduler) RegisterRunning(now time.Time, r Request, serverName string) {
 	if s.granted[r.ID] != nil {
 		return
 	}
-	c := s.byName[r.Class]
-	sv := s.index[serverName]
+	c := s.classByName[r.Class]
+	sv := s.serverByName[serverName]
 	if c == nil || sv == nil {
 		return
 	}
 	o := s.organisation(now, r.Organisation)
-	rq := &request{Request: r, server: sv, grantedAt: now, started: true}
-	rq.flow = &flow{class: c, org: o}
-	s.hold(now, rq)
+	req := &request{Request: r, server: sv, grantedAt: now, started: true}
+	req.flow = &flow{class: c, organisation: o}
+	s.occupySlot(now, req)
 }
 
 func (s *Scheduler) organisation(now time.Time, name string) *organisation {
-	o := s.orgs[name]
+	o := s.organisations[name]
 	if o == nil {
 		o = newOrganisation(name, s.limits(name))
-		s.orgs[name] = o
+		s.organisations[name] = o
 	}
-	o.seen = now
+	o.lastActive = now
 	return o
 }
 
-// Cancel withdraws a waiting request, or gives an unused grant back.
+// Cancel removes a waiting request, or releases the slot of a granted one.
 func (s *Scheduler) Cancel(now time.Time, id ID) {
 	if r := s.waiting[id]; r != nil {
-		s.drop(r)
+		s.dequeue(r)
 		return
 	}
 	if r := s.granted[id]; r != nil {
-		s.release(now, r)
+		s.releaseSlot(now, r)
 		s.dispatch(now)
 	}
 }
 
-// Start says that a granted request went out to its server.
+// Start records that a granted request was sent to its server.
 func (s *Scheduler) Start(id ID) {
 	if r := s.granted[id]; r != nil {
 		r.started = true
 	}
 }
 
-// Finish ends a granted request and gives its slot back.
+// Finish records the end of a granted request and releases its slot.
 func (s *Scheduler) Finish(now time.Time, c Completion) {
 	r := s.granted[c.ID]
 	if r == nil {
 		return
 	}
-	s.account(now, r, c)
-	s.release(now, r)
+	s.recordCompletion(now, r, c)
+	s.releaseSlot(now, r)
 	s.dispatch(now)
 }
 
-// account corrects the organisation's charge and teaches the server's account.
-func (s *Scheduler) account(now time.Time, r *request, c Completion) {
+// recordCompletion replaces the estimated charge of a request by the actual one and
+// updates the statistics that depend on its result.
+func (s *Scheduler) recordCompletion(now time.Time, r *request, c Completion) {
 	tokens := float64(c.PromptTokens + c.OutputTokens)
-	r.flow.counter += (tokens - r.charged) / r.flow.org.weight()
-	r.flow.class.serve.fix(r.flow)
-	r.flow.org.charge(now, c.OutputTokens)
+	r.flow.counter += (tokens - r.chargedTokens) / r.flow.organisation.weight()
+	r.flow.class.eligible.fix(r.flow)
+	r.flow.organisation.chargeOutput(now, c.OutputTokens)
 	switch c.Result {
 	case ResultFailed:
-		r.server.fail(now)
+		r.server.recordFailure(now)
 	case ResultDone:
-		r.server.succeed()
-		s.noteHeld(now.Sub(r.grantedAt))
-		r.flow.class.learn(c.OutputTokens)
-		s.observe(now, r, c)
+		r.server.recordSuccess()
+		s.recordSlotTime(now.Sub(r.grantedAt))
+		r.flow.class.recordOutput(c.OutputTokens)
+		s.observeLatency(now, r, c)
 	}
 }
 
-func (s *Scheduler) observe(now time.Time, r *request, c Completion) {
-	target := s.strictestBetween(r.server)
-	adapt := !s.cfg.Ablations.NoAdaptiveLimit
-	r.server.observe(now, r.grantedAt, c.InterTokenLatency, target, adapt)
+func (s *Scheduler) observeLatency(now time.Time, r *request, c Completion) {
+	target := s.strictestInterTokenTarget(r.server)
+	adaptLimit := !s.cfg.Ablations.NoAdaptiveLimit
+	r.server.observeLatency(now, r.grantedAt, c.InterTokenLatency, target, adaptLimit)
 }
 
-// strictestBetween is the tightest target among the classes that may use sv.
-func (s *Scheduler) strictestBetween(sv *server) time.Duration {
-	var least time.Duration
+// strictestInterTokenTarget returns the lowest target of the classes that may use sv, or
+// zero if there is none.
+func (s *Scheduler) strictestInterTokenTarget(sv *server) time.Duration {
+	var strictest time.Duration
 	for _, c := range s.classes {
-		if c.InterTokenTarget <= 0 || !c.allowed.has(sv.index) {
+		if c.InterTokenTarget <= 0 || !c.allowedServers.has(sv.index) {
 			continue
 		}
-		if least == 0 || c.InterTokenTarget < least {
-			least = c.InterTokenTarget
+		if strictest == 0 || c.InterTokenTarget < strictest {
+			strictest = c.InterTokenTarget
 		}
 	}
-	return least
+	return strictest
 }
 
-// Report takes a server's load report in.
+// Report applies a server's load report.
 func (s *Scheduler) Report(now time.Time, r LoadReport) {
-	sv := s.index[r.Server]
+	sv := s.serverByName[r.Server]
 	if sv == nil {
 		return
 	}
-	sv.report(now, r, s.settling)
+	sv.applyReport(now, r, s.recovering)
 	s.dispatch(now)
 }
 
-// Tick lets time pass: it expires deadlines and unused grants and ends settling.
-// Call it several times a second.
+// Tick expires deadlines and unused grants and ends the recovery when it times out. It
+// must be called several times a second.
 func (s *Scheduler) Tick(now time.Time) {
-	if s.settling && !now.Before(s.settleEnd) {
-		s.endSettling(now)
+	if s.recovering && !now.Before(s.recoveryEnd) {
+		s.endRecovery(now)
 	}
 	for _, c := range s.classes {
-		c.starts.tick(now, c.waiting)
+		c.startRate.tick(now, c.numWaiting)
 	}
 	s.expireDeadlines(now)
 	s.expireGrants(now)
-	s.clean(now)
+	s.evictIdle(now)
 	s.dispatch(now)
 }
 
@@ -314,38 +315,38 @@
 		if !ok || now.Before(r.Deadline) {
 			return
 		}
-		s.drop(r)
+		s.dequeue(r)
 		s.refuse(now, r, ReasonDeadline)
 	}
 }
 
 func (s *Scheduler) expireGrants(now time.Time) {
-	for len(s.unstarted) > 0 {
-		r := s.unstarted[0]
-		live := s.granted[r.ID] == r
-		if live && !r.started && now.Sub(r.grantedAt) < StartTimeout {
+	for len(s.unstartedGrants) > 0 {
+		r := s.unstartedGrants[0]
+		isGranted := s.granted[r.ID] == r
+		if isGranted && !r.started && now.Sub(r.grantedAt) < StartTimeout {
 			return
 		}
-		s.unstarted[0] = nil
-		s.unstarted = s.unstarted[1:]
-		if live && !r.started {
-			s.release(now, r)
+		s.unstartedGrants[0] = nil
+		s.unstartedGrants = s.unstartedGrants[1:]
+		if isGranted && !r.started {
+			s.releaseSlot(now, r)
 		}
 	}
 }
 
-// clean drops accounts that nothing refers to any more.
-func (s *Scheduler) clean(now time.Time) {
-	if now.Sub(s.cleanedAt) < housekeeping {
+// evictIdle evicts idle flows and organisations.
+func (s *Scheduler) evictIdle(now time.Time) {
+	if now.Sub(s.lastCleanup) < cleanupInterval {
 		return
 	}
-	s.cleanedAt = now
+	s.lastCleanup = now
 	for _, c := range s.classes {
-		c.forget()
+		c.evictIdleFlows()
 	}
-	for name, o := range s.orgs {
-		if o.running == 0 && now.Sub(o.seen) > idleOrganisation && !s.hasFlow(name) {
-			delete(s.orgs, name)
+	for name, o := range s.organisations {
+		if o.running == 0 && now.Sub(o.lastActive) > idleOrganisationTTL && !s.hasFlow(name) {
+			delete(s.organisations, name)
 		}
 	}
 }
@@ -359,44 +360,44 @@
 	return false
 }
 
-// TakeDecisions returns the decisions since the last TakeDecisions.
+// TakeDecisions returns the decisions since the last call and clears them.
 func (s *Scheduler) TakeDecisions() Decisions {
-	d := s.out
-	s.out = Decisions{}
+	d := s.decisions
+	s.decisions = Decisions{}
 	return d
 }
 
-// Stats describes the shard now.
+// Stats returns a snapshot of the shard.
 func (s *Scheduler) Stats(now time.Time) Stats {
 	st := Stats{Waiting: make(map[string]int), Running: len(s.granted)}
 	for _, c := range s.classes {
-		st.Waiting[c.Name] = c.waiting
+		st.Waiting[c.Name] = c.numWaiting
 	}
 	for _, sv := range s.servers {
-		st.FreeSlots += sv.free(now, s.settling)
+		st.FreeSlots += sv.freeSlots(now, s.recovering)
 		st.Servers = append(st.Servers, ServerStats{
 			Name:              sv.Name,
 			Limit:             int(sv.limit),
 			Granted:           sv.granted,
-			ExternalRunning:   sv.foreign,
-			Leaving:           sv.Leaving || sv.leaving,
+			ExternalRunning:   sv.external,
+			Leaving:           sv.Leaving || sv.reportedLeaving,
 			Down:              sv.down || now.Before(sv.trippedUntil),
-			InterTokenLatency: sv.between,
+			InterTokenLatency: sv.interTokenLatency,
 		})
 	}
 	return st
 }
 
-// DropBox forgets everything that an entry box holds: it is gone.
+// DropBox removes the requests of an entry box that is gone and releases their slots.
 func (s *Scheduler) DropBox(now time.Time, box string) {
 	for id, r := range s.waiting {
 		if id.Box == box {
-			s.drop(r)
+			s.dequeue(r)
 		}
 	}
 	for id, r := range s.granted {
 		if id.Box == box {
-			s.release(now, r)
+			s.releaseSlot(now, r)
 		}
 	}
 	s.dispatch(now)
--- a/pkg/scheduler/server.go
+++ b/pkg/scheduler/server.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// MaxServers is the largest number of servers in one shard.
+// MaxServers is the maximum number of servers in one shard.
 const MaxServers = 64
 
 // serverSet is a set of server indices.
@@ -15,116 +15,121 @@
 func (s serverSet) len() int       { return bits.OnesCount64(uint64(s)) }
 
 const (
-	// limitDecrease and limitCooldown shape the adaptive limit: one
-	// multiplicative decrease a cooldown, additive increase otherwise.
-	limitDecrease = 0.85
-	limitCooldown = time.Second
-	// smoothing is the weight of a new sample in the running means.
-	smoothing = 0.2
-	// failuresToTrip consecutive failures take a server out for a while.
-	failuresToTrip = 3
-	tripBase       = time.Second
-	tripMax        = 16 * time.Second
-	// reportWindow covers the lag of load reports: running requests of ours
-	// that a report counts may have ended this long ago.
-	reportWindow = 6 * time.Second
+	// The concurrency limit of a server follows AIMD: it is multiplied by
+	// limitDecreaseFactor at most once per limitDecreaseInterval while the server is too
+	// slow, and increased additively otherwise.
+	limitDecreaseFactor   = 0.85
+	limitDecreaseInterval = time.Second
+	// smoothingFactor is the weight of a new sample in the running means.
+	smoothingFactor = 0.2
+	// failuresToTrip is the number of consecutive failures that trip the circuit breaker.
+	failuresToTrip  = 3
+	minTripDuration = time.Second
+	maxTripDuration = 16 * time.Second
+	// peakWindow covers the delay of load reports: requests of this scheduler that a
+	// report counts as running may have ended up to this long ago.
+	peakWindow = 6 * time.Second
 )
 
-// server is one backend server's account.
+// server is the state of one backend server.
 type server struct {
 	Server
 	index   int
 	granted int
 	limit   float64
-	// foreign is work the server reports that this scheduler did not grant.
-	foreign  int
+	// external is the number of running requests that this scheduler did not grant,
+	// estimated from load reports.
+	external int
 	reported bool
 	down     bool
-	// leaving is what the server or the platform says; Server.Leaving is what
-	// the configuration says. Either keeps new work away.
-	leaving bool
-	// peak and lastPeak are the most grants held in this and the last window.
-	peak, lastPeak int
-	peakFrom       time.Time
-	between        time.Duration
-	decreasedAt    time.Time
-	failures       int
-	trips          int
-	trippedUntil   time.Time
+	// reportedLeaving is set by load reports, Server.Leaving by the configuration. The
+	// server drains if either is set.
+	reportedLeaving bool
+	// peakGranted and previousPeakGranted are the maxima of granted in the current and
+	// the previous window.
+	peakGranted, previousPeakGranted int
+	peakWindowStart                  time.Time
+	interTokenLatency                time.Duration
+	limitDecreasedAt                 time.Time
+	consecutiveFailures              int
+	// trips counts the times that the circuit breaker tripped since the last success.
+	trips        int
+	trippedUntil time.Time
 }
 
-func (s *server) used() int { return s.granted + s.foreign }
+func (s *server) usedSlots() int { return s.granted + s.external }
 
-// free is the number of slots that can be granted now.
-func (s *server) free(now time.Time, settling bool) int {
-	if s.Leaving || s.leaving || s.down || now.Before(s.trippedUntil) {
+// freeSlots is the number of slots that can be granted now.
+func (s *server) freeSlots(now time.Time, recovering bool) int {
+	if s.Leaving || s.reportedLeaving || s.down || now.Before(s.trippedUntil) {
 		return 0
 	}
-	if settling && !s.reported {
+	if recovering && !s.reported {
 		return 0
 	}
-	return max(0, int(s.limit)-s.used())
+	return max(0, int(s.limit)-s.usedSlots())
 }
 
-func (s *server) notePeak(now time.Time) {
-	if now.Sub(s.peakFrom) >= reportWindow {
-		s.lastPeak = s.peak
-		s.peak = 0
-		s.peakFrom = now
+func (s *server) recordPeak(now time.Time) {
+	if now.Sub(s.peakWindowStart) >= peakWindow {
+		s.previousPeakGranted = s.peakGranted
+		s.peakGranted = 0
+		s.peakWindowStart = now
 	}
-	s.peak = max(s.peak, s.granted)
+	s.peakGranted = max(s.peakGranted, s.granted)
 }
 
-// report takes a lagging load report in. Only what exceeds every recent count
-// of our own grants can be somebody else's.
-func (s *server) report(now time.Time, r LoadReport, settling bool) {
-	s.notePeak(now)
-	ours := max(s.peak, s.lastPeak)
-	if settling {
-		ours = s.granted
+// applyReport updates the server from a load report. As reports are delayed, only running
+// requests in excess of the recent peak of granted requests are counted as external.
+func (s *server) applyReport(now time.Time, r LoadReport, recovering bool) {
+	s.recordPeak(now)
+	own := max(s.peakGranted, s.previousPeakGranted)
+	if recovering {
+		own = s.granted
 	}
-	s.foreign = max(0, r.Running-ours)
+	s.external = max(0, r.Running-own)
 	s.reported = true
-	s.leaving = r.Leaving
+	s.reportedLeaving = r.Leaving
 	s.down = r.Down
 }
 
-// succeed and fail drive the breaker: repeated failures take the server out for
-// a growing time, one success brings it back whole.
-func (s *server) succeed() {
-	s.failures = 0
+// recordSuccess resets the circuit breaker.
+func (s *server) recordSuccess() {
+	s.consecutiveFailures = 0
 	s.trips = 0
 }
 
-func (s *server) fail(now time.Time) {
-	s.failures++
-	if s.failures < failuresToTrip {
+// recordFailure trips the circuit breaker after repeated failures. The trip duration
+// doubles with each trip until a request succeeds.
+func (s *server) recordFailure(now time.Time) {
+	s.consecutiveFailures++
+	if s.consecutiveFailures < failuresToTrip {
 		return
 	}
-	pause := min(tripBase<<min(s.trips, 8), tripMax)
-	s.trippedUntil = now.Add(pause)
+	duration := min(minTripDuration<<min(s.trips, 8), maxTripDuration)
+	s.trippedUntil = now.Add(duration)
 	s.trips++
-	// One more failure after the pause trips it again.
-	s.failures = failuresToTrip - 1
+	// A single failure after the trip duration trips the breaker again.
+	s.consecutiveFailures = failuresToTrip - 1
 }
 
-// observe adapts the limit to the measured time between tokens.
-func (s *server) observe(now, startedAt time.Time, between, target time.Duration, adapt bool) {
-	if between <= 0 {
+// observeLatency updates the mean inter-token latency and adapts the concurrency limit.
+func (s *server) observeLatency(now, grantedAt time.Time, latency, target time.Duration, adapt bool) {
+	if latency <= 0 {
 		return
 	}
-	if s.between == 0 {
-		s.between = between
+	if s.interTokenLatency == 0 {
+		s.interTokenLatency = latency
 	}
-	s.between += time.Duration(smoothing * float64(between-s.between))
+	s.interTokenLatency += time.Duration(smoothingFactor * float64(latency-s.interTokenLatency))
 	if !adapt || target <= 0 {
 		return
 	}
-	if between > target {
-		// What started before the last decrease tells nothing of the new limit.
-		if startedAt.After(s.decreasedAt) && now.Sub(s.decreasedAt) >= limitCooldown {
-			s.limit = max(1, s.limit*limitDecrease)
-			s.decreasedAt = now
+	if latency > target {
+		// Requests granted before the last decrease don't reflect the new limit.
+		if grantedAt.After(s.limitDecreasedAt) && now.Sub(s.limitDecreasedAt) >= limitDecreaseInterval {
+			s.limit = max(1, s.limit*limitDecreaseFactor)
+			s.limitDecreasedAt = now
 		}
 		return
 	}
--- a/pkg/scheduler/sync.go
+++ b/pkg/scheduler/sync.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// RunningRequest is a request that runs on a server.
+// RunningRequest is a request that is running on a server.
 type RunningRequest struct {
 	Request
 	Server string
 }
 
-// Sync makes the scheduler hold for one entry box exactly what the box says it
-// holds. Waiting requests keep their arrival; what the scheduler granted and the
-// box still waits for is queued again.
+// Sync replaces the scheduler's state for one entry box by the requests that the box
+// reports. Waiting requests keep their arrival time. A request that was granted but that
+// the box reports as waiting is queued again.
 func (s *Scheduler) Sync(now time.Time, box string, waiting []Request, running []RunningRequest) {
-	wanted := make(map[ID]bool, len(waiting)+len(running))
-	runs := make(map[ID]bool, len(running))
+	reportedIDs := make(map[ID]bool, len(waiting)+len(running))
+	runningIDs := make(map[ID]bool, len(running))
 	for _, r := range waiting {
-		wanted[r.ID] = true
+		reportedIDs[r.ID] = true
 	}
 	for _, r := range running {
-		wanted[r.ID] = true
-		runs[r.ID] = true
+		reportedIDs[r.ID] = true
+		runningIDs[r.ID] = true
 	}
 	for id, r := range s.waiting {
-		if id.Box == box && (!wanted[id] || runs[id]) {
-			s.drop(r)
+		if id.Box == box && (!reportedIDs[id] || runningIDs[id]) {
+			s.dequeue(r)
 		}
 	}
 	for id, r := range s.granted {
-		if id.Box == box && !runs[id] {
-			s.release(now, r)
+		if id.Box == box && !runningIDs[id] {
+			s.releaseSlot(now, r)
 		}
 	}
 	for _, r := range running {
@@ -40,12 +40,12 @@
 	s.dispatch(now)
 }
 
-// DropWaiting forgets an entry box's waiting requests: its link broke, and it
-// registers again when it is back.
+// DropWaiting removes the waiting requests of an entry box whose link broke. The box
+// registers them again when it reconnects.
 func (s *Scheduler) DropWaiting(box string) {
 	for id, r := range s.waiting {
 		if id.Box == box {
-			s.drop(r)
+			s.dequeue(r)
 		}
 	}
 }
--- a/pkg/scheduler/types.go
+++ b/pkg/scheduler/types.go
@@ -2,69 +2,72 @@
 
 import "time"
 
-// ID names a request. Box is the entry box's incarnation, Seq is unique there.
+// ID identifies a request. Box is the incarnation of the entry box that accepted the
+// request, and Seq is unique within it.
 type ID struct {
 	Box string
 	Seq uint64
 }
 
-// Class is a service class as one shard sees it.
+// Class is the configuration of a service class on one shard.
 type Class struct {
 	Name string
-	// Tier orders classes: 1 is the highest.
+	// Tier is the priority of the class; 1 is the highest.
 	Tier int
-	// Floor is the share of starts, in [0,1], that the class gets while it has
-	// work waiting, whatever the higher tiers bring.
+	// Floor is the minimum share, in [0,1], of the dispatched work that the class gets
+	// while it has requests waiting, regardless of the load of higher tiers. Work is
+	// measured in output tokens.
 	Floor float64
-	// FloorPlaces are queue places on top of the shard's bound that only this
-	// class may use.
+	// FloorPlaces is the number of queue places that are reserved for this class, in
+	// addition to Config.QueueLimit.
 	FloorPlaces int
-	// GuaranteedPlaces is the guaranteed part of the shared queue; beyond it the class
-	// borrows and is shed first within its tier.
+	// GuaranteedPlaces is the class's share of the queue. If the queue overflows, the
+	// class that exceeds its share most is shed first within its tier.
 	GuaranteedPlaces int
-	// FirstTokenTarget and InterTokenTarget are the latency targets: time to first token
-	// and mean time between tokens. Zero means no target.
+	// FirstTokenTarget is the target for the time to first token.
 	FirstTokenTarget time.Duration
+	// InterTokenTarget is the target for the mean time between tokens; zero means none.
 	InterTokenTarget time.Duration
-	// Servers lists the backend servers the class may use; empty means all.
+	// Servers lists the backend servers that the class may use; empty means all.
 	Servers []string
 }
 
-// Server is a backend server of the shard.
+// Server is the configuration of a backend server.
 type Server struct {
 	Name string
-	// Slots is the largest number of requests to run at a time.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Leaving servers get no new work.
+	// Leaving is set while the server drains; it gets no new requests.
 	Leaving bool
 }
 
-// Limits bound one organisation on this shard. Zero means unlimited.
+// Limits are the limits of one organisation on this shard. Zero means unlimited.
 type Limits struct {
-	// Weight is the organisation's share relative to others; 0 counts as 1.
-	Weight float64
-	// RequestsPerSecond and TokensPerSecond are rate limits.
+	// Weight is the organisation's fair-queueing weight; zero counts as 1.
+	Weight            float64
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	// Concurrency bounds requests running at a time.
+	// Concurrency is the maximum number of running requests.
 	Concurrency int
 }
 
-// Config is what the operators' accepted configuration says of one shard.
+// Config is the configuration of one shard.
 type Config struct {
 	Classes []Class
 	Servers []Server
-	// Limits returns an organisation's limits; nil means none has any.
+	// Limits returns an organisation's limits; nil means that all are unlimited.
 	Limits func(organisation string) Limits
-	// QueueLimit bounds the waiting requests of all classes beyond their floor places.
+	// QueueLimit bounds the number of waiting requests outside floor places, over all
+	// classes.
 	QueueLimit int
-	// HeadroomSlots is the number of free slots that only the highest tier may take.
+	// HeadroomSlots is the number of free slots that are reserved for the highest tier.
 	HeadroomSlots int
-	// Ablations switches mechanisms off for measurement; the zero value has all on.
+	// Ablations disables mechanisms for measurements.
 	Ablations Ablations
 }
 
-// Ablations switches single mechanisms off. Only measurements set it.
+// Ablations disables individual mechanisms to measure their effect. The zero value
+// enables all of them, as in production.
 type Ablations struct {
 	NoFloor         bool
 	NoFairness      bool
@@ -74,33 +77,33 @@
 	NoEarlyRefusal  bool
 }
 
-// Request is a reservation: what the decision needs to know of a call.
+// Request describes a call that needs a slot on a backend server.
 type Request struct {
 	ID           ID
 	Class        string
 	Organisation string
-	// PromptTokens is the estimated size of the prompt.
+	// PromptTokens is the estimated number of tokens in the prompt.
 	PromptTokens int
-	// Arrival is when the call first reached an entry box.
+	// Arrival is when the call reached its entry box.
 	Arrival time.Time
-	// Deadline is when waiting has no more use; zero means none.
+	// Deadline is when the request is refused if it is still waiting; zero means none.
 	Deadline time.Time
-	// PrefixHashes holds hashes of ever longer prefixes of the prompt.
+	// PrefixHashes holds hashes of prefixes of the prompt, in order of increasing length.
 	PrefixHashes []uint64
-	// AvoidServers names servers that failed this request before. They are taken only
-	// when no other is free.
+	// AvoidServers names servers that have failed this request. They are used only if no
+	// other server has a free slot.
 	AvoidServers []string
 }
 
-// Grant says that a request may start on a server now.
+// Grant assigns a slot on a server to a request, which may start now.
 type Grant struct {
 	ID     ID
 	Server string
-	// Waited is the time from arrival to grant.
+	// Waited is the time from arrival to the grant.
 	Waited time.Duration
 }
 
-// Reason says why a request was refused.
+// Reason is the reason of a refusal.
 type Reason int
 
 // Reasons of a refusal.
@@ -112,7 +115,7 @@
 	ReasonNoServer
 )
 
-// String returns the reason as it stands in logs and answers.
+// String returns the reason as it appears in logs and answers.
 func (r Reason) String() string {
 	switch r {
 	case ReasonQueueFull:
@@ -129,25 +132,24 @@
 	return "none"
 }
 
-// Refusal says that a request will not run here. It was never granted, or its
-// grant was withdrawn before use.
+// Refusal rejects a waiting request. The request has never run.
 type Refusal struct {
 	ID     ID
 	Reason Reason
-	// RetryAfter is when asking again has a fair chance.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
 }
 
-// Result is how a granted request ended.
+// Result is the outcome of a granted request. Its values match peerpb.Result.
 type Result int
 
 // Results of a granted request.
 const (
-	// ResultDone means the server gave its whole answer.
+	// ResultDone means that the server returned a complete answer.
 	ResultDone Result = iota + 1
-	// ResultFailed means the server broke, refused or timed out.
+	// ResultFailed means that the server failed, refused the request or timed out.
 	ResultFailed
-	// ResultAbandoned means the caller went away.
+	// ResultAbandoned means that the caller disconnected.
 	ResultAbandoned
 )
 
@@ -157,13 +159,13 @@
 	Result       Result
 	PromptTokens int
 	OutputTokens int
-	// TimeToFirstToken is the time from dispatch to the first token.
+	// TimeToFirstToken is measured from the dispatch to the server.
 	TimeToFirstToken time.Duration
-	// InterTokenLatency is the mean time between tokens; zero when unknown.
+	// InterTokenLatency is the mean time between tokens; zero if unknown.
 	InterTokenLatency time.Duration
 }
 
-// LoadReport is a server's own account of its load. It lags.
+// LoadReport is the load that a server reports. It may be several seconds old.
 type LoadReport struct {
 	Server  string
 	Running int
@@ -171,13 +173,13 @@
 	Down    bool
 }
 
-// Decisions are the outcomes since the last Take.
+// Decisions are the grants and refusals since the last call of TakeDecisions.
 type Decisions struct {
 	Grants   []Grant
 	Refusals []Refusal
 }
 
-// Stats describes the shard at one moment.
+// Stats is a snapshot of the shard.
 type Stats struct {
 	Waiting   map[string]int
 	Running   int
@@ -185,7 +187,7 @@
 	Servers   []ServerStats
 }
 
-// ServerStats describes one server at one moment.
+// ServerStats is a snapshot of one server.
 type ServerStats struct {
 	Name            string
 	Limit           int
@@ -193,6 +195,6 @@
 	ExternalRunning int
 	Leaving         bool
 	Down            bool
-	// InterTokenLatency is the smoothed time between tokens.
+	// InterTokenLatency is a running mean.
 	InterTokenLatency time.Duration
 }
