--- a/pkg/balancer/admission.go
+++ b/pkg/balancer/admission.go
@@ -7,7 +7,7 @@
 )
 
 // PendingPrefill is how many tokens wait to be prefilled for requests of each rank.
-type PendingPrefill [routing.RankMost + 1]int
+type PendingPrefill [routing.MaxRank + 1]int
 
 // add counts tokens of a rank, fewer than none for those that wait no more.
 func (w *PendingPrefill) add(rank, tokens int) { w[rank] = max(0, w[rank]+tokens) }
@@ -61,7 +61,7 @@
 type ranksSeen struct {
 	// first is when any came, latest when one of each rank last did.
 	first  time.Time
-	latest [routing.RankMost + 1]time.Time
+	latest [routing.MaxRank + 1]time.Time
 }
 
 func (s *ranksSeen) note(rank int, now time.Time) {
@@ -101,7 +101,7 @@
 	if speed == 0 {
 		return turn, false
 	}
-	before, all := d.PendingPrefill.before(rank), d.PendingPrefill.before(routing.RankMost)
+	before, all := d.PendingPrefill.before(rank), d.PendingPrefill.before(routing.MaxRank)
 	turn.Wait = time.Duration(float64(before) / speed * float64(time.Second))
 	turn.Overtakes = all-before > before
 	return turn, true
@@ -137,7 +137,7 @@
 	defer b.mu.Unlock()
 	for i := range servers {
 		s := &servers[i]
-		key := KeyOf(s.Life())
+		key := KeyOf(s.Incarnation())
 		l := b.other(key, now)
 		if own, ok := b.servers[key]; ok {
 			l = l.Plus(own.load())
--- a/pkg/balancer/cost.go
+++ b/pkg/balancer/cost.go
@@ -97,7 +97,7 @@
 		return best
 	}
 	for i := range q.Draining {
-		s, known := b.servers[KeyOf(q.Draining[i].Life())]
+		s, known := b.servers[KeyOf(q.Draining[i].Incarnation())]
 		if !known {
 			continue
 		}
--- a/pkg/balancer/query.go
+++ b/pkg/balancer/query.go
@@ -37,8 +37,8 @@
 	PromptTokens int
 	BodyBytes    int
 	// Exclude lists servers that were tried before.
-	Exclude []routing.Life
-	// Rank is the urgency, 0 to routing.RankMost.
+	Exclude []routing.Incarnation
+	// Rank is the urgency, 0 to routing.MaxRank.
 	Rank int
 	// MaxOccupancy is the share of an engine's places that may be taken for the request to go there, as
 	// long as there is such an engine; zero for no bound.
