--- a/pkg/backend/client.go
+++ b/pkg/backend/client.go
@@ -97,8 +97,8 @@
 		h.Set(HeaderFence, call.Fence)
 	}
 	return upstream.Request{
-		Server: call.Server.Address, Address: call.Server.Address, Method: call.Method, Target: call.Path,
-		Host: call.Server.Address, Header: h, Body: call.Body, Fresh: call.Once,
+		ServerKey: call.Server.Address, Address: call.Server.Address, Method: call.Method, Target: call.Path,
+		Host: call.Server.Address, Header: h, Body: call.Body, NewConnection: call.Once,
 	}
 }
 
--- a/pkg/backend/probe.go
+++ b/pkg/backend/probe.go
@@ -26,7 +26,7 @@
 // counts as up and idle.
 func (c *Client) Probe(ctx context.Context, s config.Server) (scheduler.Report, error) {
 	resp, err := c.upstream.Do(ctx, upstream.Request{
-		Server: s.Address, Address: s.Address, Method: http.MethodGet, Target: LoadPath, Host: s.Address,
+		ServerKey: s.Address, Address: s.Address, Method: http.MethodGet, Target: LoadPath, Host: s.Address,
 	})
 	if err != nil {
 		return scheduler.Report{}, err
--- a/pkg/directory/follow.go
+++ b/pkg/directory/follow.go
@@ -34,7 +34,7 @@
 
 // limits bounds an answer of the source that begins within a time.
 func (t Timing) limits(first time.Duration) stall.Limits {
-	return stall.Limits{First: first, Silence: t.Answer, Most: t.AnswerMost}
+	return stall.Limits{FirstByte: first, Idle: t.Answer, Total: t.AnswerMost}
 }
 
 // Following is what a directory follows.
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -81,7 +81,7 @@
 
 // interrupt ends the watch, unless its answer is coming: that holds the news.
 func (w *waitingWatch) interrupt() {
-	if w != nil && !stall.Begun(w.ctx) {
+	if w != nil && !stall.Started(w.ctx) {
 		w.cancel(errInterrupted)
 	}
 }
@@ -205,7 +205,7 @@
 // is something to tell: a silent source is not meant.
 func (f *follower) notBegun(asked target, err error) {
 	var stalled *stall.Error
-	if asked.wanted == 0 || !errors.As(err, &stalled) || stalled.Begun {
+	if asked.wanted == 0 || !errors.As(err, &stalled) || stalled.Started {
 		return
 	}
 	f.mu.Lock()
--- a/pkg/directory/simulation_test.go
+++ b/pkg/directory/simulation_test.go
@@ -180,7 +180,7 @@
 }
 
 func transferOver(r *linkReader) error {
-	_, err := io.Copy(io.Discard, stall.Reader(r.ctx, r))
+	_, err := io.Copy(io.Discard, stall.NewReader(r.ctx, r))
 	return err
 }
 
--- a/pkg/directory/unbegun_test.go
+++ b/pkg/directory/unbegun_test.go
@@ -85,4 +85,4 @@
 }
 
 // stalledError is how an exchange ends whose answer does not begin.
-func stalledError() error { return &stall.Error{After: historyTiming.Answer} }
+func stalledError() error { return &stall.Error{Limit: historyTiming.Answer} }
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -142,7 +142,7 @@
 // forwarded copies the headers that go through: not headhill's own, which neither
 // side may forge, nor the caller's key, which is for headhill only.
 func forwarded(h http.Header) http.Header {
-	out := upstream.EndToEnd(h)
+	out := upstream.EndToEndHeader(h)
 	out.Del("Authorization")
 	maps.DeleteFunc(out, func(name string, _ []string) bool { return strings.HasPrefix(name, ownHeaders) })
 	return out
--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -146,7 +146,7 @@
 			}
 			return x.finish()
 		}
-		err = x.event(data, events.Buffered())
+		err = x.event(data, events.HasBuffered())
 		if isCaller(err) {
 			return err
 		}
--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -53,7 +53,7 @@
 	after := x.comeBack(turn.Wait)
 	_ = level.Info(x.gateway.Logger).Log("msg", "not admitted", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
 		"late", late, "wait_ms", turn.Wait.Milliseconds(), "most_ms", most.Milliseconds(), "servers", len(servers), "come_back_ms", after.Milliseconds())
-	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), After: after}
+	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), RetryAfter: after}
 }
 
 // waitMost is how long those before the request may take the engines.
--- a/pkg/gateway/answer.go
+++ b/pkg/gateway/answer.go
@@ -132,7 +132,7 @@
 // copyHeader copies the headers that are not of one connection. Headers that
 // net/http would add by itself are held back.
 func copyHeader(to, from http.Header) {
-	maps.Copy(to, upstream.EndToEnd(from))
+	maps.Copy(to, upstream.EndToEndHeader(from))
 	for _, added := range []string{"Content-Type", "Date"} {
 		if _, ok := from[added]; !ok {
 			to[added] = nil
--- a/pkg/gateway/close.go
+++ b/pkg/gateway/close.go
@@ -20,23 +20,23 @@
 
 // Outcomes of requests.
 const (
-	OutcomeDone    Outcome = "done"
-	OutcomeDenied  Outcome = "denied"
-	OutcomeNotRun  Outcome = "not-run"
-	OutcomeUnknown Outcome = "unknown"
-	OutcomeBroken  Outcome = "broken-off"
-	OutcomeGone    Outcome = "caller-gone"
+	OutcomeDone       Outcome = "done"
+	OutcomeDenied     Outcome = "denied"
+	OutcomeNotRun     Outcome = "not-run"
+	OutcomeUnknown    Outcome = "unknown"
+	OutcomeTruncated  Outcome = "broken-off"
+	OutcomeCallerGone Outcome = "caller-gone"
 )
 
 // Record is what is told of an ended request.
 type Record struct {
-	Route        string
-	Organisation string
-	Outcome      Outcome
-	Status       int
-	Repeats      int
-	FirstEvent   time.Duration
-	Total        time.Duration
+	Route            string
+	Organisation     string
+	Outcome          Outcome
+	Status           int
+	Retries          int
+	TimeToFirstEvent time.Duration
+	Duration         time.Duration
 }
 
 // Recorder takes the records of ended requests.
@@ -47,7 +47,7 @@
 func (x *exchange) close(err error) {
 	outcome := x.answerError(err)
 	x.report(outcome, err)
-	if outcome == OutcomeBroken || outcome == OutcomeGone {
+	if outcome == OutcomeTruncated || outcome == OutcomeCallerGone {
 		// The connection is cut, so that nothing looks complete.
 		panic(http.ErrAbortHandler)
 	}
@@ -62,14 +62,14 @@
 	case err == nil:
 		return OutcomeDone
 	case errors.As(err, &gone):
-		return OutcomeGone
+		return OutcomeCallerGone
 	case x.begun:
-		return OutcomeBroken
+		return OutcomeTruncated
 	case errors.As(err, &denied):
 		x.final(denied.Status, err)
 		return OutcomeDenied
 	case errors.As(err, &refused):
-		x.gateway.Protocol.Refuse(x.writer.Header(), refused.After)
+		x.gateway.Protocol.SetRetryAfter(x.writer.Header(), refused.RetryAfter)
 		x.final(http.StatusServiceUnavailable, err)
 		return OutcomeNotRun
 	case errors.As(err, &unknown):
@@ -88,7 +88,7 @@
 
 func (x *exchange) report(outcome Outcome, err error) {
 	now := clock.Now()
-	r := Record{Outcome: outcome, Status: x.status, Repeats: max(0, len(x.servers)-1), Total: now.Sub(x.arrival)}
+	r := Record{Outcome: outcome, Status: x.status, Retries: max(0, len(x.servers)-1), Duration: now.Sub(x.arrival)}
 	if x.route != nil {
 		r.Route = x.route.Name
 	}
@@ -96,13 +96,13 @@
 		r.Organisation = x.organisation.Name
 	}
 	if !x.firstEvent.IsZero() {
-		r.FirstEvent = x.firstEvent.Sub(x.arrival)
+		r.TimeToFirstEvent = x.firstEvent.Sub(x.arrival)
 	}
 	x.gateway.Recorder.Record(r)
 	fields := []any{
 		"msg", "request", "id", x.call.ID, "outcome", outcome, "status", x.status, "route", r.Route, "organisation", r.Organisation,
-		"servers", lives(x.servers), "total_ms", r.Total.Milliseconds(),
-		"first_ms", r.FirstEvent.Milliseconds(), "events", x.events, "pause_ms", x.longestPause.Milliseconds(), "patience_ms", x.call.Patience.Milliseconds(),
+		"servers", lives(x.servers), "total_ms", r.Duration.Milliseconds(),
+		"first_ms", r.TimeToFirstEvent.Milliseconds(), "events", x.events, "pause_ms", x.longestPause.Milliseconds(), "patience_ms", x.call.Timeout.Milliseconds(),
 	}
 	if x.view.Table != nil {
 		fields = append(fields, "version", x.view.Table.Version, "table_age_ms", x.view.TableAge(x.arrival).Milliseconds(),
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -18,12 +18,12 @@
 
 // RefusedError says that a request was not run here, and when to come back.
 type RefusedError struct {
-	Reason string
-	After  time.Duration
+	Reason     string
+	RetryAfter time.Duration
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("not run: %s: come back after %s", e.Reason, e.After)
+	return fmt.Sprintf("not run: %s: come back after %s", e.Reason, e.RetryAfter)
 }
 
 // UnknownError says that a request may have run, but that no whole answer came.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -22,18 +22,18 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// Bounds are the gateway's own limits.
-type Bounds struct {
-	// Requests and Held bound the requests in progress and the bytes of their
+// Limits are the gateway's own limits.
+type Limits struct {
+	// MaxRequests and Held bound the requests in progress and the bytes of their
 	// bodies.
-	Requests int64
-	Held     int64
-	// Grace is how long a server that the list has lost may still get work while
+	MaxRequests  int64
+	MaxHeldBytes int64
+	// LostServerGrace is how long a server that the list has lost may still get work while
 	// its service has no other.
-	Grace time.Duration
-	// Denial is how old the table may be to deny a caller: beyond it an unknown
+	LostServerGrace time.Duration
+	// MaxDenialTableAge is how old the table may be to deny a caller: beyond it an unknown
 	// route or key may be one that this box has not heard of.
-	Denial time.Duration
+	MaxDenialTableAge time.Duration
 }
 
 // Deps are what the gateway is built on.
@@ -52,18 +52,18 @@
 	Hall   string
 	// RegionOf tells the region of a hall, "" for none.
 	RegionOf func(hall string) string
-	Bounds   Bounds
-	// Stop returns the planned stop that is under way, or nil.
-	Stop func() *Stop
+	Limits   Limits
+	// Shutdown returns the planned stop that is under way, or nil.
+	Shutdown func() *Shutdown
 }
 
-// Stop is a planned stop. Requests that arrive late in it are told to come back, as
+// Shutdown is a planned stop. Requests that arrive late in it are told to come back, as
 // they could not end in time.
-type Stop struct {
-	// Refuse is when new streams are not begun any more.
-	Refuse time.Time
-	// End is when the box ends.
-	End time.Time
+type Shutdown struct {
+	// RefuseStreamsAfter is when new streams are not begun any more.
+	RefuseStreamsAfter time.Time
+	// Deadline is when the box ends.
+	Deadline time.Time
 }
 
 // Gateway answers callers.
@@ -90,11 +90,11 @@
 	return g
 }
 
-// GiveUp ends all requests in progress, each with an answer, as the box ends.
-func (g *Gateway) GiveUp() { g.giveUp() }
+// CancelAll ends all requests in progress, each with an answer, as the box ends.
+func (g *Gateway) CancelAll() { g.giveUp() }
 
-// Running returns the number of requests in progress.
-func (g *Gateway) Running() int { return int(g.running.Load()) }
+// InProgress returns the number of requests in progress.
+func (g *Gateway) InProgress() int { return int(g.running.Load()) }
 
 // Times to come back after, for refusals of the box itself.
 const (
@@ -117,14 +117,14 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer g.running.Add(-1)
-	busy := g.running.Add(1) > g.Bounds.Requests
+	busy := g.running.Add(1) > g.Limits.MaxRequests
 	x := &exchange{gateway: g, writer: w, request: r, arrival: clock.Now(), view: g.Directory.View()}
-	if x.stop = g.Stop(); x.stop != nil {
+	if x.stop = g.Shutdown(); x.stop != nil {
 		w.Header().Set("Connection", "close")
 	}
 	var err error
 	if busy {
-		err = &RefusedError{Reason: "the box holds as many requests as it may", After: afterBusy}
+		err = &RefusedError{Reason: "the box holds as many requests as it may", RetryAfter: afterBusy}
 	} else {
 		err = x.serve()
 	}
@@ -141,7 +141,7 @@
 	view    *directory.View
 	// reserved is how many bytes of answers are held until the request ends.
 	reserved int64
-	stop     *Stop
+	stop     *Shutdown
 
 	call         Call
 	body         []byte
@@ -205,7 +205,7 @@
 
 func (x *exchange) readCall() (err error) {
 	x.call, err = x.gateway.Protocol.ReadCall(x.request)
-	x.lastEvent = x.call.LastEvent
+	x.lastEvent = x.call.LastEventID
 	return err
 }
 
@@ -216,7 +216,7 @@
 	}
 	table := x.view.Table
 	if table == nil {
-		return &RefusedError{Reason: "no routing table is known yet", After: x.untilTable()}
+		return &RefusedError{Reason: "no routing table is known yet", RetryAfter: x.untilTable()}
 	}
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
 	route, ok := table.Match(x.request.Host, path)
@@ -229,8 +229,8 @@
 		x.service = &routing.Service{Name: name}
 	}
 	x.deadline = x.arrival.Add(route.Timeout)
-	if x.call.Patience > 0 && x.call.Patience < route.Timeout {
-		x.deadline = x.arrival.Add(x.call.Patience)
+	if x.call.Timeout > 0 && x.call.Timeout < route.Timeout {
+		x.deadline = x.arrival.Add(x.call.Timeout)
 	}
 	return nil
 }
@@ -238,7 +238,7 @@
 // awaitTable lets a request wait at a box that has just started and is about to have its table. Where
 // all boxes start at once a caller that is refused comes back to one that has none either.
 func (x *exchange) awaitTable() {
-	wait := min(tableWaitMost, x.call.Patience/tableWaitPart)
+	wait := min(tableWaitMost, x.call.Timeout/tableWaitPart)
 	if wait < tableWaitLeast {
 		return
 	}
@@ -255,8 +255,8 @@
 // been up, as nothing else tells how long the store will be away.
 func (x *exchange) untilTable() time.Duration {
 	after := max(x.arrival.Sub(x.gateway.started), afterNotReady)
-	if x.call.Patience > 0 {
-		after = min(after, x.call.Patience/stayAwayMost)
+	if x.call.Timeout > 0 {
+		after = min(after, x.call.Timeout/stayAwayMost)
 	}
 	return min(after, notReadyMost)
 }
@@ -276,8 +276,8 @@
 
 // deny turns a caller away for good, unless the belief is too old for that.
 func (x *exchange) deny(status int, message string) error {
-	if x.view.TableAge(x.arrival) > x.gateway.Bounds.Denial {
-		return &RefusedError{Reason: "the routing table is too old to deny: " + message, After: afterNotReady}
+	if x.view.TableAge(x.arrival) > x.gateway.Limits.MaxDenialTableAge {
+		return &RefusedError{Reason: "the routing table is too old to deny: " + message, RetryAfter: afterNotReady}
 	}
 	return &CallError{Status: status, Message: message}
 }
@@ -288,8 +288,8 @@
 		return nil
 	}
 	stream := x.route.Kind == routing.KindStream
-	if stream && x.arrival.After(x.stop.Refuse) || !stream && x.deadline.After(x.stop.End) {
-		return &RefusedError{Reason: "the box is about to stop", After: afterStop}
+	if stream && x.arrival.After(x.stop.RefuseStreamsAfter) || !stream && x.deadline.After(x.stop.Deadline) {
+		return &RefusedError{Reason: "the box is about to stop", RetryAfter: afterStop}
 	}
 	return nil
 }
@@ -302,8 +302,8 @@
 	if x.request.ContentLength > most {
 		return &CallError{Status: http.StatusRequestEntityTooLarge, Message: "the body is larger than the configuration allows: shorten it"}
 	}
-	if g.held.Load()+max(0, x.request.ContentLength) > g.Bounds.Held {
-		return &RefusedError{Reason: "the box holds as many bytes as it may", After: afterBusy}
+	if g.held.Load()+max(0, x.request.ContentLength) > g.Limits.MaxHeldBytes {
+		return &RefusedError{Reason: "the box holds as many bytes as it may", RetryAfter: afterBusy}
 	}
 	if x.request.ContentLength == 0 {
 		return nil
--- a/pkg/gateway/held.go
+++ b/pkg/gateway/held.go
@@ -16,16 +16,16 @@
 // that read slowly would else take memory without bound: a thousand of them, with answers of
 // answerMost each, 512 MB.
 func (g *Gateway) reserve(n int64) bool {
-	if g.held.Add(n) <= g.Bounds.Held {
+	if g.held.Add(n) <= g.Limits.MaxHeldBytes {
 		return true
 	}
 	g.held.Add(-n)
 	return false
 }
 
-// Held is how many bytes the box holds for callers: bodies of requests, and answers until they are
+// HeldBytes is how many bytes the box holds for callers: bodies of requests, and answers until they are
 // passed on.
-func (g *Gateway) Held() int64 { return g.held.Load() }
+func (g *Gateway) HeldBytes() int64 { return g.held.Load() }
 
 // hold reads an answer into room that is reserved for it until the request ends. It returns false
 // with what was read where the answer is too long, or no room is left.
--- a/pkg/gateway/outage.go
+++ b/pkg/gateway/outage.go
@@ -65,7 +65,7 @@
 	now := clock.Now()
 	age := x.gateway.outages.age(x.service.Name, now)
 	if !now.Before(x.awaitEnd()) {
-		return &RefusedError{Reason: f.cause.Error(), After: x.stayAway(age, now)}
+		return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.stayAway(age, now)}
 	}
 	return x.lookAgain(ctx, f)
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -91,8 +91,8 @@
 		after = min(max(clock.Until(v.Trial), heldLeast), heldMost)
 	}
 	return &RefusedError{
-		Reason: fmt.Sprintf("%d backend servers crashed while they had this request: change it, or ask the operators to look at request %s", v.Ends, f),
-		After:  after,
+		Reason:     fmt.Sprintf("%d backend servers crashed while they had this request: change it, or ask the operators to look at request %s", v.Ends, f),
+		RetryAfter: after,
 	}
 }
 
@@ -158,16 +158,16 @@
 
 // noteProbe takes the answer of a probe in.
 func (x *exchange) noteProbe(f quarantine.Fingerprint, lease *balancer.Lease, broke time.Time, state upstream.State) {
-	if state == upstream.StateEnded {
+	if state == upstream.StateExited {
 		x.gateway.Quarantine.NoteEnd(f, quarantine.Life(lease.Server.Life().Hash()), broke)
 	}
 	_ = level.Info(x.gateway.Logger).Log("msg", "server broke off under a request", "id", x.call.ID, "request", f,
 		"server", lease.Server.ID, "state", state, "ends", x.gateway.Quarantine.Judge(f).Ends)
 }
 
-// EndHeld ends the requests in progress that are the same as one that is held from now on, before
+// CancelQuarantined ends the requests in progress that are the same as one that is held from now on, before
 // further servers crash of them.
-func (g *Gateway) EndHeld(f quarantine.Fingerprint) {
+func (g *Gateway) CancelQuarantined(f quarantine.Fingerprint) {
 	ended := 0
 	for x, giveUp := range g.inProgress() {
 		r := x.identity()
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -10,7 +10,7 @@
 
 // candidates are the servers to which the request may go, by a view of the directory.
 func (x *exchange) candidates(v *directory.View, now time.Time) []routing.Server {
-	return x.allowed(v.Candidates(x.service.Name, now, x.gateway.Bounds.Grace))
+	return x.allowed(v.Candidates(x.service.Name, now, x.gateway.Limits.LostServerGrace))
 }
 
 // allowed returns those of some servers that stand in a region where the request may be served and
@@ -31,6 +31,6 @@
 	return &RefusedError{
 		Reason: "the route allows the regions " + strings.Join(x.route.Regions, ", ") + ", the organisation only " +
 			strings.Join(x.organisation.Regions, ", ") + ": ask the operators to allow one in both",
-		After: afterNotReady,
+		RetryAfter: afterNotReady,
 	}
 }
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -119,7 +119,7 @@
 	case errors.Is(cause, errHeld):
 		return heldError(x.verdict())
 	}
-	return &RefusedError{Reason: "no server took the request: " + cause.Error(), After: jitter(refusedAfter)}
+	return &RefusedError{Reason: "no server took the request: " + cause.Error(), RetryAfter: jitter(refusedAfter)}
 }
 
 // giveUp is the final answer after a failure.
@@ -132,7 +132,7 @@
 	case x.mayHaveRun:
 		return &UnknownError{Cause: f.cause}
 	}
-	return &RefusedError{Reason: f.cause.Error(), After: x.afterRefusal(clock.Now())}
+	return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.afterRefusal(clock.Now())}
 }
 
 // afterRefusal is when to come back after a server's refusal: soon where others are available, else when
@@ -245,18 +245,18 @@
 	if err != nil {
 		return &failure{result: brokenResult(err), broken: true, cause: err}, nil
 	}
-	reply := x.gateway.Protocol.Reply(resp.Status, resp.Header)
-	if !reply.Replaced {
+	reply := x.gateway.Protocol.ParseResponse(resp.Status, resp.Header)
+	if !reply.ServerReplaced {
 		x.observeSignals(lease.Server.Life(), resp.Status, reply.Signals)
 	}
 	switch {
-	case reply.Replaced:
+	case reply.ServerReplaced:
 		// The server that was meant got nothing, so it does not count as an attempt.
 		drain(resp)
 		x.servers = x.servers[:len(x.servers)-1]
 		x.unreachedServers = append(x.unreachedServers, lease.Server.Life())
 		return &failure{result: balancer.ResultReplaced, notRun: true, unsent: true, arrived: true, cause: &notRunError{Server: lease.Server.ID, Status: resp.Status}}, nil
-	case reply.NotRun:
+	case reply.NotExecuted:
 		drain(resp)
 		return &failure{result: balancer.ResultRefused, notRun: true, cause: &notRunError{Server: lease.Server.ID, Status: resp.Status}}, nil
 	case isStream(resp):
@@ -297,25 +297,25 @@
 
 func (x *exchange) outgoing(lease *balancer.Lease) upstream.Request {
 	a := Attempt{
-		Call:      &x.call,
-		Server:    lease.Server,
-		Rank:      x.rank(),
-		Engine:    x.service.Engine,
-		Left:      clock.Until(x.deadline),
-		LastEvent: x.lastEvent,
-		Source:    lease.Source,
+		Call:          &x.call,
+		Server:        lease.Server,
+		Rank:          x.rank(),
+		Engine:        x.service.Engine,
+		RemainingTime: clock.Until(x.deadline),
+		LastEventID:   x.lastEvent,
+		PrefixSource:  lease.Source,
 	}
 	if x.organisation != nil {
 		a.Organisation = x.organisation.Name
 	}
 	return upstream.Request{
-		Server:  lease.Server.Life().String(),
-		Address: lease.Server.Address,
-		Method:  x.request.Method,
-		Target:  x.request.RequestURI,
-		Host:    x.request.Host,
-		Header:  x.gateway.Protocol.Outgoing(x.request.Header, a),
-		Body:    x.body,
-		Mine:    func(h http.Header) bool { return x.gateway.Protocol.Answers(&x.call, h) },
+		ServerKey:       lease.Server.Life().String(),
+		Address:         lease.Server.Address,
+		Method:          x.request.Method,
+		Target:          x.request.RequestURI,
+		Host:            x.request.Host,
+		Header:          x.gateway.Protocol.RequestHeader(x.request.Header, a),
+		Body:            x.body,
+		MatchesResponse: func(h http.Header) bool { return x.gateway.Protocol.MatchesResponse(&x.call, h) },
 	}
 }
--- a/pkg/gateway/unavailable.go
+++ b/pkg/gateway/unavailable.go
@@ -95,7 +95,7 @@
 		after := x.stayAway(wait, now)
 		_ = level.Info(x.gateway.Logger).Log("msg", "no server available", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
 			"limited", a.Limited, "per_second", a.PerSecond, "backing_off", a.BackingOff, "wait_ms", wait.Milliseconds(), "come_back_ms", after.Milliseconds())
-		return &RefusedError{Reason: f.cause.Error(), After: after}
+		return &RefusedError{Reason: f.cause.Error(), RetryAfter: after}
 	}
 	x.queue()
 	return x.lookAgain(ctx, f)
--- a/pkg/gateway/usage.go
+++ b/pkg/gateway/usage.go
@@ -8,7 +8,7 @@
 
 // Usage counts requests that begin to run.
 type Usage interface {
-	Begun(organisation string, at time.Time)
+	RequestStarted(organisation string, at time.Time)
 }
 
 // noteRun counts the request as one that began to run at a time: a stream with its first
@@ -18,7 +18,7 @@
 		return
 	}
 	x.counted = true
-	x.gateway.Usage.Begun(x.organisation.Name, at)
+	x.gateway.Usage.RequestStarted(x.organisation.Name, at)
 }
 
 // noteLostRun counts a request whose answer did not come as one that ran. Of a stream the
--- a/pkg/mailbox/mailbox.go
+++ b/pkg/mailbox/mailbox.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// Most bounds the messages waiting; beyond it the mailbox breaks, and its
+	// MaxMessages bounds the messages waiting; beyond it the mailbox breaks, and its
 	// two sides have to agree anew.
-	Most = 1 << 16
-	// BatchMost bounds the messages taken at a time.
-	BatchMost = 256
+	MaxMessages = 1 << 16
+	// MaxBatch bounds the messages taken at a time.
+	MaxBatch = 256
 )
 
 // Mailbox is a queue with any number of writers and one reader.
@@ -25,7 +25,7 @@
 }
 
 // New returns an empty mailbox.
-func New[T any]() *Mailbox[T] { return &Mailbox[T]{wake: make(chan struct{}, 1), most: Most} }
+func New[T any]() *Mailbox[T] { return &Mailbox[T]{wake: make(chan struct{}, 1), most: MaxMessages} }
 
 // NewUnbounded returns an empty mailbox that never breaks, for a reader in the same
 // process: there is no other side to agree with anew.
@@ -49,7 +49,7 @@
 	return ok
 }
 
-// Take waits for messages and returns up to BatchMost; false means that ctx ended
+// Take waits for messages and returns up to MaxBatch; false means that ctx ended
 // or the mailbox broke.
 func (m *Mailbox[T]) Take(ctx context.Context) ([]T, bool) {
 	for {
@@ -58,7 +58,7 @@
 			m.mu.Unlock()
 			return nil, false
 		}
-		if n := min(len(m.items), BatchMost); n > 0 {
+		if n := min(len(m.items), MaxBatch); n > 0 {
 			batch := append([]T(nil), m.items[:n]...)
 			m.items = m.items[n:]
 			if len(m.items) == 0 {
--- a/pkg/mailbox/mailbox_test.go
+++ b/pkg/mailbox/mailbox_test.go
@@ -8,16 +8,16 @@
 
 func TestOrderAndBounds(t *testing.T) {
 	bounded, unbounded := New[int](), NewUnbounded[int]()
-	for i := range Most {
+	for i := range MaxMessages {
 		require.True(t, bounded.Put(i))
 		require.True(t, unbounded.Put(i))
 	}
-	require.False(t, bounded.Put(Most), "beyond the bound the mailbox breaks")
+	require.False(t, bounded.Put(MaxMessages), "beyond the bound the mailbox breaks")
 	_, ok := bounded.Take(t.Context())
 	require.False(t, ok)
-	require.True(t, unbounded.Put(Most))
+	require.True(t, unbounded.Put(MaxMessages))
 	next := 0
-	for next <= Most {
+	for next <= MaxMessages {
 		batch, ok := unbounded.Take(t.Context())
 		require.True(t, ok)
 		for _, v := range batch {
--- a/pkg/objectstore/client.go
+++ b/pkg/objectstore/client.go
@@ -90,7 +90,7 @@
 	if err := c.limiter.Wait(ctx, cl.write); err != nil {
 		return answer{}, &UnavailableError{Op: cl.op, Cause: err}
 	}
-	ctx, cancel := stall.WithLimits(ctx, stall.Limits{First: cl.timeout, Silence: callTimeout, Most: answerMost})
+	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: cl.timeout, Idle: callTimeout, Total: answerMost})
 	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -136,7 +136,7 @@
 		return answer{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(stall.Reader(req.Context(), io.LimitReader(resp.Body, MaxValue*4)))
+	body, err := io.ReadAll(stall.NewReader(req.Context(), io.LimitReader(resp.Body, MaxValue*4)))
 	if err != nil {
 		return answer{}, err
 	}
--- a/pkg/pause/pause_test.go
+++ b/pkg/pause/pause_test.go
@@ -25,14 +25,14 @@
 // Of many boxes few act before the first of them is heard, however many they are; all do in the end.
 func TestFewActBeforeTheyAreSpared(t *testing.T) {
 	const window, heard = time.Second, 200 * time.Millisecond
-	assert.Zero(t, Suppressed(window, 1))
+	assert.Zero(t, SuppressionDelay(window, 1))
 	for _, n := range []int{10, 100, 1000, 2000} {
 		const plays = 50
 		acted := 0
 		for range plays {
 			waits := make([]time.Duration, n)
 			for i := range waits {
-				waits[i] = Suppressed(window, n)
+				waits[i] = SuppressionDelay(window, n)
 				assert.LessOrEqual(t, waits[i], window)
 			}
 			first := slices.Min(waits)
--- a/pkg/quarantine/keeper.go
+++ b/pkg/quarantine/keeper.go
@@ -179,7 +179,7 @@
 func (k *Keeper) load(ctx context.Context) {
 	k.await(ctx, meetMost, func() bool { return len(k.Sharer.Peers()) > 0 })
 	// Of 985 boxes that drew evenly 700 read the record for themselves.
-	k.await(ctx, readLeast+pause.Suppressed(readSpread, len(k.Sharer.Peers())+1), k.Sharer.Informed)
+	k.await(ctx, readLeast+pause.SuppressionDelay(readSpread, len(k.Sharer.Peers())+1), k.Sharer.Informed)
 	for !k.Sharer.Informed() && ctx.Err() == nil {
 		s, err := k.read(ctx)
 		if err != nil {
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -63,7 +63,7 @@
 }
 
 func box(store Store, i int) *Roster {
-	return New(store, Entry{Box: fmt.Sprintf("box-%02d", i), Peer: fmt.Sprintf("127.0.0.1:%d", 6000+i)}, stall.Limits{First: time.Second, Silence: time.Second, Most: time.Second}, log.NewNopLogger())
+	return New(store, Entry{Box: fmt.Sprintf("box-%02d", i), Peer: fmt.Sprintf("127.0.0.1:%d", 6000+i)}, stall.Limits{FirstByte: time.Second, Idle: time.Second, Total: time.Second}, log.NewNopLogger())
 }
 
 func TestBoxesFindEachOther(t *testing.T) {
--- a/pkg/roster/sweep_test.go
+++ b/pkg/roster/sweep_test.go
@@ -26,7 +26,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 		name := fmt.Sprintf("box-%02d", i)
-		r := New(store, Entry{Box: name, Peer: conn.LocalAddr().String()}, stall.Limits{First: time.Second, Silence: time.Second, Most: time.Second}, log.NewNopLogger())
+		r := New(store, Entry{Box: name, Peer: conn.LocalAddr().String()}, stall.Limits{FirstByte: time.Second, Idle: time.Second, Total: time.Second}, log.NewNopLogger())
 		port := datagram.NewPort(datagram.Deps{Box: name, Conn: conn, Logger: log.NewNopLogger(), Known: func(netip.AddrPort) bool { return true }})
 		sweepers = append(sweepers, NewSweeper(r, port, log.NewNopLogger()))
 	}
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -111,7 +111,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
-	stop   atomic.Pointer[gateway.Stop]
+	stop   atomic.Pointer[gateway.Shutdown]
 	// checkFailed says that the last check of the store failed.
 	checkFailed atomic.Bool
 }
@@ -157,7 +157,7 @@
 		return nil, oops.In("telemetry").Wrap(err)
 	}
 	d.quarantine = quarantine.New(quarantine.Deps{
-		Port: d.peers, Peers: d.roster.Peers, Store: a.Quarantine(access), Timeout: storeLimits.First, Logger: logs.For(logflags.Quarantine),
+		Port: d.peers, Peers: d.roster.Peers, Store: a.Quarantine(access), Timeout: storeLimits.FirstByte, Logger: logs.For(logflags.Quarantine),
 	})
 	if err := metrics.AddGauges(quarantineGauge(d.quarantine), formsGauge(d.roster), signalsGauge(balance.Signals())); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
@@ -167,18 +167,18 @@
 	d.gateway = gateway.New(gateway.Deps{
 		Protocol: a.Protocol, Directory: d.directory, Balancer: balance,
 		Budget: d.budget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
-		Hall: s.Box.Hall, Stop: d.stop.Load, RegionOf: d.regionOf,
-		Bounds: gateway.Bounds{
-			Requests: int64(s.Limits.MemoryMB) * requestsPerMB,
-			Held:     int64(s.Limits.MemoryMB<<20) / heldShare,
-			Grace:    s.Bounds.Drain / 2,
-			Denial:   s.Bounds.Apply,
+		Hall: s.Box.Hall, Shutdown: d.stop.Load, RegionOf: d.regionOf,
+		Limits: gateway.Limits{
+			MaxRequests:       int64(s.Limits.MemoryMB) * requestsPerMB,
+			MaxHeldBytes:      int64(s.Limits.MemoryMB<<20) / heldShare,
+			LostServerGrace:   s.Bounds.Drain / 2,
+			MaxDenialTableAge: s.Bounds.Apply,
 		},
 	})
 	if err := metrics.AddGauges(heldGauge(d.gateway)); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	d.quarantine.OnHeld(d.gateway.EndHeld)
+	d.quarantine.OnHeld(d.gateway.CancelQuarantined)
 	d.serveHTTP()
 	d.serveSnapshots(logs.For(logflags.Peer))
 	return d, nil
@@ -253,8 +253,8 @@
 	apply := d.settings.Load().Bounds.Apply
 	return directory.Timing{
 		Wait:        watchWait,
-		Answer:      storeLimits.First,
-		AnswerMost:  storeLimits.Most,
+		Answer:      storeLimits.FirstByte,
+		AnswerMost:  storeLimits.Total,
 		Lag:         apply * 50 / 100,
 		Collect:     apply * 10 / 100,
 		Backoff:     apply * 3 / 100,
@@ -271,7 +271,7 @@
 // milliseconds. The most only ends what would trickle for ever: where many boxes read a
 // large table at once, each answer takes as long as the store's link needs for all, and to
 // begin anew would make it longer still.
-var storeLimits = stall.Limits{First: 700 * time.Millisecond, Silence: 700 * time.Millisecond, Most: 5 * time.Minute}
+var storeLimits = stall.Limits{FirstByte: 700 * time.Millisecond, Idle: 700 * time.Millisecond, Total: 5 * time.Minute}
 
 // setShares gives this box its parts of what the fleet may do.
 func (d *Daemon) setShares() {
--- a/pkg/routerd/fleetduties.go
+++ b/pkg/routerd/fleetduties.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Begun implements gateway.Usage.
-func (f *fleetDuties) Begun(organisation string, at time.Time) {
+// RequestStarted implements gateway.Usage.
+func (f *fleetDuties) RequestStarted(organisation string, at time.Time) {
 	if f.settings.Has(DutyMetering) {
 		f.counter.Begun(organisation, at)
 	}
--- a/pkg/routerd/gauges.go
+++ b/pkg/routerd/gauges.go
@@ -40,7 +40,7 @@
 func heldGauge(g *gateway.Gateway) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_held_bytes", Help: "Bytes of requests and answers held for callers.", Attribute: "of",
-		Observe: func() map[string]int64 { return map[string]int64{"callers": g.Held()} },
+		Observe: func() map[string]int64 { return map[string]int64{"callers": g.HeldBytes()} },
 	}
 }
 
--- a/pkg/routerd/stop.go
+++ b/pkg/routerd/stop.go
@@ -28,15 +28,15 @@
 func (d *Daemon) Stop() {
 	begun := clock.Now()
 	end := begun.Add(d.settings.Load().Bounds.Grace - killMargin)
-	d.stop.Store(&gateway.Stop{Refuse: begun.Add(streamTime), End: end})
+	d.stop.Store(&gateway.Shutdown{RefuseStreamsAfter: begun.Add(streamTime), Deadline: end})
 	// Kept connections are closed as soon as they rest, so that their callers go
 	// elsewhere with the next request.
 	d.connections.closeResting()
-	_ = level.Info(d.logger).Log("msg", "stopping", "in_progress", d.gateway.Running())
+	_ = level.Info(d.logger).Log("msg", "stopping", "in_progress", d.gateway.InProgress())
 	d.duties.handOver()
 	d.waitUntilIdle(begun.Add(min(noticeTime, clock.Until(end))), end)
-	left := d.gateway.Running()
-	d.gateway.GiveUp()
+	left := d.gateway.InProgress()
+	d.gateway.CancelAll()
 	ctx, cancel := context.WithTimeout(context.Background(), killMargin/3)
 	defer cancel()
 	_ = d.callerPort.Close()
@@ -56,7 +56,7 @@
 // time and at most until the latest.
 func (d *Daemon) waitUntilIdle(earliest, latest time.Time) {
 	for now := clock.Now(); now.Before(latest); now = clock.Now() {
-		if now.After(earliest) && d.gateway.Running() == 0 {
+		if now.After(earliest) && d.gateway.InProgress() == 0 {
 			return
 		}
 		time.Sleep(stopCheck)
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -258,7 +258,7 @@
 // fetch asks one box for a part, and decodes it into what the head of the answer calls for. It
 // returns false where the box has what the asker has.
 func (c *Client) fetch(ctx context.Context, address, path string, q question, to func(known) any) (known, bool, error) {
-	ctx, cancel := stall.WithLimits(ctx, stall.Limits{First: q.wait + wayMost, Silence: silenceMost, Most: answerMost})
+	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: q.wait + wayMost, Idle: silenceMost, Total: answerMost})
 	defer cancel()
 	values := url.Values{
 		keyLeast:   {strconv.FormatUint(q.least, 10)},
@@ -288,7 +288,7 @@
 	if resp.StatusCode == http.StatusNoContent {
 		return k, false, nil
 	}
-	body := stall.Reader(ctx, io.LimitReader(resp.Body, bodyMost))
+	body := stall.NewReader(ctx, io.LimitReader(resp.Body, bodyMost))
 	if err := decode(body, to(k)); err != nil {
 		return known{}, false, errors.Join(&DamagedError{Address: address, Reason: "its body is no part"}, err, context.Cause(ctx))
 	}
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -252,7 +252,7 @@
 	_, err := client(300*time.Millisecond, frozen).Servers(t.Context(), 0, 9)
 	var stalled *stall.Error
 	require.ErrorAs(t, err, &stalled)
-	assert.True(t, stalled.Begun)
+	assert.True(t, stalled.Started)
 	assert.Less(t, time.Since(begun), 5*time.Second)
 }
 
--- a/pkg/sse/sse.go
+++ b/pkg/sse/sse.go
@@ -8,14 +8,14 @@
 	"io"
 )
 
-// MaxEvent bounds one event, in bytes.
-const MaxEvent = 1 << 20
+// MaxEventBytes bounds one event, in bytes.
+const MaxEventBytes = 1 << 20
 
 // TooLongError says that an event exceeds the bound.
 type TooLongError struct{}
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("event longer than %d bytes: check what the server streams", MaxEvent)
+	return fmt.Sprintf("event longer than %d bytes: check what the server streams", MaxEventBytes)
 }
 
 // Reader reads events one by one.
@@ -26,8 +26,8 @@
 // NewReader returns a reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 4096)} }
 
-// Buffered tells whether more of the stream has arrived already.
-func (r *Reader) Buffered() bool { return r.r.Buffered() > 0 }
+// HasBuffered tells whether more of the stream has arrived already.
+func (r *Reader) HasBuffered() bool { return r.r.Buffered() > 0 }
 
 // Next returns the data of the next event that has any. It returns io.EOF at the
 // end of the stream; an event that the end cuts off is not returned.
@@ -54,7 +54,7 @@
 		}
 		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
 		has = true
-		if len(data) > MaxEvent {
+		if len(data) > MaxEventBytes {
 			return nil, &TooLongError{}
 		}
 	}
@@ -68,7 +68,7 @@
 		part, err := r.r.ReadSlice('\n')
 		whole = append(whole, part...)
 		if err == bufio.ErrBufferFull {
-			if len(whole) > MaxEvent {
+			if len(whole) > MaxEventBytes {
 				return nil, &TooLongError{}
 			}
 			continue
--- a/pkg/stall/stall.go
+++ b/pkg/stall/stall.go
@@ -13,27 +13,27 @@
 
 // Limits bound one exchange.
 type Limits struct {
-	// First is how long the first byte of the answer may take.
-	First time.Duration
-	// Silence is how long the answer may stand still after that.
-	Silence time.Duration
-	// Most bounds the whole exchange, the wait for the first byte left out.
-	Most time.Duration
+	// FirstByte is how long the first byte of the answer may take.
+	FirstByte time.Duration
+	// Idle is how long the answer may stand still after that.
+	Idle time.Duration
+	// Total bounds the whole exchange, the wait for the first byte left out.
+	Total time.Duration
 }
 
 // Error is the cause of a context whose exchange was given up.
 type Error struct {
-	// Begun tells whether a part of the answer had come.
-	Begun bool
-	// After is the limit that was passed.
-	After time.Duration
+	// Started tells whether a part of the answer had come.
+	Started bool
+	// Limit is the limit that was passed.
+	Limit time.Duration
 }
 
 func (e *Error) Error() string {
-	if e.Begun {
-		return fmt.Sprintf("the answer stood still for %s or was not whole in time: ask again", e.After)
+	if e.Started {
+		return fmt.Sprintf("the answer stood still for %s or was not whole in time: ask again", e.Limit)
 	}
-	return fmt.Sprintf("no answer within %s: ask again", e.After)
+	return fmt.Sprintf("no answer within %s: ask again", e.Limit)
 }
 
 // monitor watches one exchange.
@@ -54,28 +54,28 @@
 func WithLimits(ctx context.Context, l Limits) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	m := &monitor{limits: l, cancel: cancel}
-	m.silence = time.AfterFunc(l.First, m.stalled)
+	m.silence = time.AfterFunc(l.FirstByte, m.stalled)
 	return context.WithValue(ctx, monitorKey{}, m), m.end
 }
 
 // stalled ends the exchange as nothing has come.
 func (m *monitor) stalled() {
 	begun := m.begun.Load()
-	after := m.limits.First
+	after := m.limits.FirstByte
 	if begun {
-		after = m.limits.Silence
+		after = m.limits.Idle
 	}
-	m.cancel(&Error{Begun: begun, After: after})
+	m.cancel(&Error{Started: begun, Limit: after})
 }
 
 // progress notes that a part of the answer has come.
 func (m *monitor) progress() {
-	m.silence.Reset(m.limits.Silence)
+	m.silence.Reset(m.limits.Idle)
 	if m.begun.Swap(true) {
 		return
 	}
-	m.most.Store(time.AfterFunc(m.limits.Most, func() {
-		m.cancel(&Error{Begun: true, After: m.limits.Most})
+	m.most.Store(time.AfterFunc(m.limits.Total, func() {
+		m.cancel(&Error{Started: true, Limit: m.limits.Total})
 	}))
 }
 
@@ -93,15 +93,15 @@
 	return m
 }
 
-// Begun tells whether a part of the answer has come.
-func Begun(ctx context.Context) bool {
+// Started tells whether a part of the answer has come.
+func Started(ctx context.Context) bool {
 	m := of(ctx)
 	return m != nil && m.begun.Load()
 }
 
-// Reader returns a reader that notes each byte of an answer as progress of the exchange
+// NewReader returns a reader that notes each byte of an answer as progress of the exchange
 // that ctx bounds.
-func Reader(ctx context.Context, r io.Reader) io.Reader {
+func NewReader(ctx context.Context, r io.Reader) io.Reader {
 	m := of(ctx)
 	if m == nil {
 		return r
--- a/pkg/stall/stall_test.go
+++ b/pkg/stall/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var limits = Limits{First: 700 * time.Millisecond, Silence: 500 * time.Millisecond, Most: 5 * time.Second}
+var limits = Limits{FirstByte: 700 * time.Millisecond, Idle: 500 * time.Millisecond, Total: 5 * time.Second}
 
 // slowReader gives a byte after each pause until its context ends.
 type slowReader struct {
@@ -40,7 +40,7 @@
 		defer cancel()
 		begun := time.Now()
 		var data []byte
-		data, err = io.ReadAll(Reader(ctx, &slowReader{ctx: ctx, pauses: pauses}))
+		data, err = io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, pauses: pauses}))
 		n, took = len(data), time.Since(begun)
 	})
 	return n, took, err
@@ -67,9 +67,9 @@
 		want   Error
 		took   time.Duration
 	}{
-		"no answer":         {pauses: repeat(time.Second, 1), want: Error{After: limits.First}, took: limits.First},
-		"it stands still":   {pauses: []time.Duration{100 * time.Millisecond, 600 * time.Millisecond}, want: Error{Begun: true, After: limits.Silence}, took: 600 * time.Millisecond},
-		"it takes for ever": {pauses: repeat(400*time.Millisecond, 100), want: Error{Begun: true, After: limits.Most}, took: 400*time.Millisecond + limits.Most},
+		"no answer":         {pauses: repeat(time.Second, 1), want: Error{Limit: limits.FirstByte}, took: limits.FirstByte},
+		"it stands still":   {pauses: []time.Duration{100 * time.Millisecond, 600 * time.Millisecond}, want: Error{Started: true, Limit: limits.Idle}, took: 600 * time.Millisecond},
+		"it takes for ever": {pauses: repeat(400*time.Millisecond, 100), want: Error{Started: true, Limit: limits.Total}, took: 400*time.Millisecond + limits.Total},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, took, err := read(t, c.pauses...)
@@ -84,9 +84,9 @@
 func TestBegun(t *testing.T) {
 	ctx, cancel := WithLimits(context.Background(), limits)
 	defer cancel()
-	assert.False(t, Begun(ctx))
-	_, err := io.ReadAll(Reader(ctx, &slowReader{ctx: ctx, pauses: repeat(time.Millisecond, 1)}))
+	assert.False(t, Started(ctx))
+	_, err := io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, pauses: repeat(time.Millisecond, 1)}))
 	require.NoError(t, err)
-	assert.True(t, Begun(ctx))
-	assert.False(t, Begun(context.Background()), "an exchange without limits")
+	assert.True(t, Started(ctx))
+	assert.False(t, Started(context.Background()), "an exchange without limits")
 }
--- a/pkg/upstream/client.go
+++ b/pkg/upstream/client.go
@@ -17,19 +17,19 @@
 
 // Request is one request to one server.
 type Request struct {
-	// Server names the incarnation of the server; connections are kept by it.
-	Server  string
-	Address string
-	Method  string
+	// ServerKey names the incarnation of the server; connections are kept by it.
+	ServerKey string
+	Address   string
+	Method    string
 	// Target is the path with the query, as it is sent.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells whether an answer belongs to this request; nil takes any.
-	Mine func(http.Header) bool
-	// Fresh asks for a new connection.
-	Fresh bool
+	// MatchesResponse tells whether an answer belongs to this request; nil takes any.
+	MatchesResponse func(http.Header) bool
+	// NewConnection asks for a new connection.
+	NewConnection bool
 }
 
 // Response is an answer whose head has arrived. Close must be called: it keeps the
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, &NotSentError{Address: r.Address, Cause: err}
 	}
-	x := &exchange{client: c, conn: conn, server: r.Server, written: make(chan error, 1)}
+	x := &exchange{client: c, conn: conn, server: r.ServerKey, written: make(chan error, 1)}
 	x.release = context.AfterFunc(ctx, func() { conn.Close() })
 	go func() { x.written <- x.write(r) }()
 	raw, err := x.readHead(r)
@@ -83,8 +83,8 @@
 }
 
 func (c *Client) connect(ctx context.Context, r Request) (*conn, error) {
-	if !r.Fresh {
-		if kept := c.pool.take(r.Server, clock.Now()); kept != nil {
+	if !r.NewConnection {
+		if kept := c.pool.take(r.ServerKey, clock.Now()); kept != nil {
 			return kept, nil
 		}
 	}
@@ -136,7 +136,7 @@
 		if raw.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine == nil || r.Mine(raw.Header) {
+		if r.MatchesResponse == nil || r.MatchesResponse(raw.Header) {
 			return raw, nil
 		}
 		if raw.Close || raw.ContentLength < 0 && len(raw.TransferEncoding) == 0 {
--- a/pkg/upstream/client_test.go
+++ b/pkg/upstream/client_test.go
@@ -32,7 +32,7 @@
 		}
 	}()
 	address := listener.Addr().String()
-	f(NewClient(time.Second), Request{Server: "s", Address: address, Method: http.MethodGet, Target: "/", Host: address})
+	f(NewClient(time.Second), Request{ServerKey: "s", Address: address, Method: http.MethodGet, Target: "/", Host: address})
 }
 
 func TestEndlessHeadIsBounded(t *testing.T) {
@@ -58,7 +58,7 @@
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
-	_, err = NewClient(time.Second).Do(context.Background(), Request{Server: "s", Address: address, Method: http.MethodGet, Target: "/"})
+	_, err = NewClient(time.Second).Do(context.Background(), Request{ServerKey: "s", Address: address, Method: http.MethodGet, Target: "/"})
 	assert.True(t, IsNotSent(err))
 	withServer(t, func(c net.Conn) { _, _ = c.Read(make([]byte, 1000)) }, func(c *Client, r Request) {
 		_, err := c.Do(context.Background(), r)
--- a/pkg/upstream/headers.go
+++ b/pkg/upstream/headers.go
@@ -13,9 +13,9 @@
 	"Content-Length": true, "Expect": true,
 }
 
-// EndToEnd copies the headers that go through: not those of one connection, of which
+// EndToEndHeader copies the headers that go through: not those of one connection, of which
 // Connection may name more.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeader(h http.Header) http.Header {
 	named := make(map[string]bool)
 	for _, v := range h.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
--- a/pkg/upstream/probe.go
+++ b/pkg/upstream/probe.go
@@ -16,8 +16,8 @@
 	StateUnknown State = iota
 	// StateUp: something accepts connections at the address.
 	StateUp
-	// StateEnded: the machine answers that nobody listens there.
-	StateEnded
+	// StateExited: the machine answers that nobody listens there.
+	StateExited
 )
 
 // String implements fmt.Stringer.
@@ -76,7 +76,7 @@
 		_ = conn.Close()
 		return StateUp
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return StateEnded
+		return StateExited
 	}
 	return StateUnknown
 }
--- a/pkg/upstream/probe_test.go
+++ b/pkg/upstream/probe_test.go
@@ -27,6 +27,6 @@
 	assert.Equal(t, StateUp, awaitProbe(t, c.Probe("a", address)))
 
 	listener.Close()
-	assert.Equal(t, StateEnded, awaitProbe(t, c.Probe("b", address)))
+	assert.Equal(t, StateExited, awaitProbe(t, c.Probe("b", address)))
 	assert.Same(t, c.Probe("b", address), c.Probe("b", address), "those who ask at the same time share a probe")
 }
