--- a/pkg/autoscale/planner.go
+++ b/pkg/autoscale/planner.go
@@ -35,7 +35,7 @@
 	policy  Policy
 
 	offer    Offer
-	ordered  Book
+	ordered  HallCounts
 	halls    map[string]*hallState
 	forecast Forecast
 	begun    time.Time
@@ -56,20 +56,20 @@
 
 // NewPlanner returns a planner that goes on from a book; with an empty one it goes on from
 // what is there.
-func NewPlanner(service string, policy Policy, book Book, now time.Time) *Planner {
+func NewPlanner(service string, policy Policy, book HallCounts, now time.Time) *Planner {
 	return &Planner{service: service, policy: policy, ordered: maps.Clone(book), halls: make(map[string]*hallState), begun: now, spotOver: now}
 }
 
-// Book is what is ordered.
-func (p *Planner) Book() Book { return maps.Clone(p.ordered) }
+// Ordered is what is ordered.
+func (p *Planner) Ordered() HallCounts { return maps.Clone(p.ordered) }
 
 // Status is what a plan rested on, for logs and metrics.
 type Status struct {
-	Load    Load
-	Peak    float64
-	Targets Book
-	Ready   Book
-	Leaving Book
+	Load         Load
+	ForecastPeak float64
+	Targets      HallCounts
+	Ready        HallCounts
+	Leaving      HallCounts
 }
 
 // Plan takes in what is there and what is asked, and returns the orders that follow, those of
@@ -78,7 +78,7 @@
 	p.offer = offer
 	p.count(servers)
 	if len(p.ordered) == 0 {
-		p.ordered, p.adopted = make(Book), true
+		p.ordered, p.adopted = make(HallCounts), true
 	}
 	p.noteLosses(now)
 	if p.finding(now) {
@@ -90,7 +90,7 @@
 		p.learned = true
 	}
 	if p.learned {
-		p.forecast.Add(load.Busy, offer.Boot, now)
+		p.forecast.Add(load.BusyServers, offer.Boot, now)
 	}
 	targets := p.targets(now, false)
 	orders := p.probe(now)
@@ -178,8 +178,8 @@
 	}
 }
 
-// Refused notes that an order for more servers was not taken: there are none at present.
-func (p *Planner) Refused(o Order, now time.Time) {
+// MarkUnavailable notes that an order for more servers was not taken: there are none at present.
+func (p *Planner) MarkUnavailable(o Order, now time.Time) {
 	p.hall(o.Hall).refuse(o.Kind, now)
 	p.Undo(o)
 }
@@ -187,7 +187,7 @@
 // Undo takes an order back that was not made.
 func (p *Planner) Undo(o Order) {
 	ordered := p.ordered[o.Hall]
-	ordered[o.Kind] = o.Before
+	ordered[o.Kind] = o.Previous
 	p.ordered[o.Hall] = ordered
 }
 
@@ -195,14 +195,14 @@
 // it is, and they are had as cheaply as can be.
 // Where a kind could not be had, the targets are without more of it, unless they are to tell
 // what to ask for again.
-func (p *Planner) targets(now time.Time, probing bool) Book {
-	in := Inputs{Offer: p.offer, Busy: p.forecast.Peak(), Reclaims: p.reclaimRate(now)}
+func (p *Planner) targets(now time.Time, probing bool) HallCounts {
+	in := Inputs{Offer: p.offer, BusyServers: p.forecast.Peak(), ReclaimRate: p.reclaimRate(now)}
 	names := p.names()
 	for _, name := range names {
 		h := p.hall(name)
 		hall := Hall{Name: name, Price: p.offer.Prices[name], Ready: h.ready}
 		for k := range kinds {
-			hall.Refused[k] = h.refused[k] && !(probing && h.probeDue(k, now))
+			hall.Unavailable[k] = h.refused[k] && !(probing && h.probeDue(k, now))
 		}
 		in.Halls = append(in.Halls, hall)
 	}
@@ -213,9 +213,9 @@
 	case p.adopted:
 		wanted = in.cheapest(p.found)
 	default:
-		return p.Book()
+		return p.Ordered()
 	}
-	targets := make(Book, len(names))
+	targets := make(HallCounts, len(names))
 	for i, t := range wanted {
 		targets[names[i]] = t
 	}
@@ -230,7 +230,7 @@
 // probe asks for kinds again that could not be had a while ago.
 func (p *Planner) probe(now time.Time) []Order {
 	var orders []Order
-	var targets Book
+	var targets HallCounts
 	for _, name := range p.names() {
 		h := p.hall(name)
 		for k := range kinds {
@@ -253,15 +253,15 @@
 
 // within is how many servers of a kind are wanted in a hall, as far as there is room beside
 // those of the other kind.
-func (p *Planner) within(hall string, k Kind, targets Book) int {
-	return min(targets[hall][k], p.offer.Most-p.ordered[hall][1-k])
+func (p *Planner) within(hall string, k Kind, targets HallCounts) int {
+	return min(targets[hall][k], p.offer.MaxServers-p.ordered[hall][1-k])
 }
 
 // least is the least change of a number that is ordered.
 func least(ordered int) int { return int(stepShare*float64(ordered)) + 1 }
 
 // grow orders more where more are wanted.
-func (p *Planner) grow(targets Book, now time.Time) []Order {
+func (p *Planner) grow(targets HallCounts, now time.Time) []Order {
 	var orders []Order
 	for _, name := range p.names() {
 		h := p.hall(name)
@@ -279,14 +279,14 @@
 // order notes a number as ordered.
 func (p *Planner) order(hall string, k Kind, count int) Order {
 	ordered := p.ordered[hall]
-	o := Order{Service: p.service, Hall: hall, Kind: k, Count: count, Before: ordered[k]}
+	o := Order{Service: p.service, Hall: hall, Kind: k, Count: count, Previous: ordered[k]}
 	ordered[k] = count
 	p.ordered[hall] = ordered
 	return o
 }
 
-func (p *Planner) status(load Load, targets Book) Status {
-	s := Status{Load: load, Peak: p.forecast.Peak(), Targets: targets, Ready: make(Book), Leaving: make(Book)}
+func (p *Planner) status(load Load, targets HallCounts) Status {
+	s := Status{Load: load, ForecastPeak: p.forecast.Peak(), Targets: targets, Ready: make(HallCounts), Leaving: make(HallCounts)}
 	for name, h := range p.halls {
 		s.Ready[name], s.Leaving[name] = h.ready, h.leaving
 	}
--- a/pkg/autoscale/planner_test.go
+++ b/pkg/autoscale/planner_test.go
@@ -47,7 +47,7 @@
 
 // offered is what the tests order from unless they say otherwise.
 func offered() Offer {
-	return Offer{Least: 1, Most: 60, Boot: 4 * time.Second, SpotPrice: 0.18, Prices: map[string]float64{"east": 0.85, "north": 1.2, "west": 1}}
+	return Offer{MinServers: 1, MaxServers: 60, Boot: 4 * time.Second, SpotPrice: 0.18, Prices: map[string]float64{"east": 0.85, "north": 1.2, "west": 1}}
 }
 
 // tick is how often the planner is asked.
@@ -87,7 +87,7 @@
 		return false
 	}
 	c.orders++
-	room := c.offer.Most - c.desired[o.Hall][1-o.Kind]
+	room := c.offer.MaxServers - c.desired[o.Hall][1-o.Kind]
 	c.desired[o.Hall][o.Kind] = min(o.Count, room)
 	for n := there; n < min(o.Count, room); n++ {
 		c.servers = append(c.servers, &cloudServer{Server: Server{Hall: o.Hall, Kind: o.Kind}, ready: c.now.Add(c.offer.Boot)})
@@ -163,18 +163,18 @@
 func (s *scene) play(d time.Duration) {
 	for end := s.cloud.now.Add(d); s.cloud.now.Before(end); s.cloud.advance() {
 		busy := s.load(s.cloud.now.Sub(s.begun))
-		orders, _ := s.planner.Plan(s.cloud.offer, s.cloud.listed(), Load{Busy: busy, Known: busy > 0}, s.cloud.now)
+		orders, _ := s.planner.Plan(s.cloud.offer, s.cloud.listed(), Load{BusyServers: busy, Known: busy > 0}, s.cloud.now)
 		for _, o := range orders {
 			taken := s.cloud.order(o)
 			if !taken {
-				s.planner.Refused(o, s.cloud.now)
+				s.planner.MarkUnavailable(o, s.cloud.now)
 			}
 			if s.trace {
 				s.t.Log(s.cloud.now.Sub(s.begun), o, taken)
 			}
 		}
 		for _, h := range halls {
-			require.LessOrEqual(s.t, s.cloud.desired[h].Sum(), s.cloud.offer.Most, "servers ordered in %s", h)
+			require.LessOrEqual(s.t, s.cloud.desired[h].Sum(), s.cloud.offer.MaxServers, "servers ordered in %s", h)
 		}
 		serving := s.cloud.serving()
 		s.least = min(s.least, serving)
@@ -186,7 +186,7 @@
 // lateShareOf is the share of what was asked that is expected to have come late.
 func (s *scene) lateShareOf() float64 { return s.lost / s.asked }
 
-func expectedLoss() Policy { return ExpectedLoss{Value: 12} }
+func expectedLoss() Policy { return ExpectedLoss{WorkValue: 12} }
 
 func steady(busy float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return busy }
@@ -304,7 +304,7 @@
 func TestNewHolderGoesOn(t *testing.T) {
 	s := newScene(t, offered(), expectedLoss(), steady(25))
 	s.play(60 * time.Second)
-	book, serving, orders := s.planner.Book(), s.cloud.serving(), s.cloud.orders
+	book, serving, orders := s.planner.Ordered(), s.cloud.serving(), s.cloud.orders
 	s.trace = true
 	s.planner = NewPlanner("models", s.planner.policy, book, s.cloud.now)
 	s.least = math.MaxInt
@@ -319,18 +319,18 @@
 	s.play(39 * time.Second)
 	stale := s.cloud.listed()
 	for end := s.cloud.now.Add(15 * time.Second); s.cloud.now.Before(end); s.cloud.advance() {
-		orders, _ := s.planner.Plan(s.cloud.offer, stale, Load{Busy: 75, Known: true}, s.cloud.now)
+		orders, _ := s.planner.Plan(s.cloud.offer, stale, Load{BusyServers: 75, Known: true}, s.cloud.now)
 		for _, o := range orders {
 			s.cloud.order(o)
 		}
-		require.LessOrEqual(t, s.cloud.count(func(*cloudServer) bool { return true }), 3*s.cloud.offer.Most+60)
+		require.LessOrEqual(t, s.cloud.count(func(*cloudServer) bool { return true }), 3*s.cloud.offer.MaxServers+60)
 	}
 	s.play(20 * time.Second)
 	assert.Less(t, late(75, s.cloud.serving()), 0.03)
 }
 
 func BenchmarkTargets(b *testing.B) {
-	in := Inputs{Offer: offered(), Busy: 60, Reclaims: 0.05}
+	in := Inputs{Offer: offered(), BusyServers: 60, ReclaimRate: 0.05}
 	for _, h := range halls {
 		in.Halls = append(in.Halls, Hall{Name: h, Price: in.Offer.Prices[h]})
 	}
--- a/pkg/autoscale/policy.go
+++ b/pkg/autoscale/policy.go
@@ -9,10 +9,10 @@
 type Hall struct {
 	Name  string
 	Price float64
-	// Refused tells which kinds can't be had there at present, Ready how many servers there
+	// Unavailable tells which kinds can't be had there at present, Ready how many servers there
 	// are that stay.
-	Refused [kinds]bool
-	Ready   PerKind
+	Unavailable [kinds]bool
+	Ready       PerKind
 }
 
 // Inputs are what a policy decides on.
@@ -20,10 +20,10 @@
 	// Halls are in the order of their prices.
 	Halls []Hall
 	Offer Offer
-	// Busy is the load to be prepared for.
-	Busy float64
-	// Reclaims is how often spot servers are taken away, in halls a second.
-	Reclaims float64
+	// BusyServers is the load to be prepared for.
+	BusyServers float64
+	// ReclaimRate is how often spot servers are taken away, in halls a second.
+	ReclaimRate float64
 }
 
 // Targets are the servers wanted, by the places of the halls in the inputs.
@@ -45,19 +45,19 @@
 // can be had.
 func (in *Inputs) most(hall int, k Kind) int {
 	h := &in.Halls[hall]
-	if h.Refused[k] || k == Spot && in.Offer.SpotPrice == 0 {
-		return min(h.Ready[k], in.Offer.Most)
+	if h.Unavailable[k] || k == Spot && in.Offer.SpotPrice == 0 {
+		return min(h.Ready[k], in.Offer.MaxServers)
 	}
-	return in.Offer.Most
+	return in.Offer.MaxServers
 }
 
 // room is how many servers may stand in a hall. Where spot servers can't be had at present, the
 // room of one is left to ask for them again.
 func (in *Inputs) room(hall int) int {
-	if in.Halls[hall].Refused[Spot] {
-		return in.Offer.Most - 1
+	if in.Halls[hall].Unavailable[Spot] {
+		return in.Offer.MaxServers - 1
 	}
-	return in.Offer.Most
+	return in.Offer.MaxServers
 }
 
 // price is that of a server of a kind in a hall.
@@ -89,15 +89,15 @@
 
 // spotRefused tells whether any hall has no spot servers to be had at present.
 func (in *Inputs) spotRefused() bool {
-	return slices.ContainsFunc(in.Halls, func(h Hall) bool { return h.Refused[Spot] })
+	return slices.ContainsFunc(in.Halls, func(h Hall) bool { return h.Unavailable[Spot] })
 }
 
 // ExpectedLoss orders a server as long as what it is expected to save is worth more than its
 // price.
 type ExpectedLoss struct {
-	// Value is what the work of a server that is busy all the time is worth, as a multiple of
+	// WorkValue is what the work of a server that is busy all the time is worth, as a multiple of
 	// the price of one on demand.
-	Value float64
+	WorkValue float64
 }
 
 const (
@@ -119,9 +119,9 @@
 
 // cost is what is expected to be lost, in prices of a server on demand.
 func (e ExpectedLoss) cost(in *Inputs, t Targets) float64 {
-	now, then := late(in.Busy, t.Sum()), late(in.Busy, in.left(t))
-	gap := min(1, in.Reclaims*(in.Offer.Boot.Seconds()+gapMargin))
-	return e.Value * in.Busy * (now + gap*(then-now))
+	now, then := late(in.BusyServers, t.Sum()), late(in.BusyServers, in.left(t))
+	gap := min(1, in.ReclaimRate*(in.Offer.Boot.Seconds()+gapMargin))
+	return e.WorkValue * in.BusyServers * (now + gap*(then-now))
 }
 
 // Targets implements Policy. Halls have as many spot servers each, as those that lose them are
@@ -150,10 +150,10 @@
 		return []int{0}
 	}
 	var levels []int
-	for n := 0; n < in.Offer.Most; n += in.Offer.Most/levelsMost + 1 {
+	for n := 0; n < in.Offer.MaxServers; n += in.Offer.MaxServers/levelsMost + 1 {
 		levels = append(levels, n)
 	}
-	return append(levels, in.Offer.Most)
+	return append(levels, in.Offer.MaxServers)
 }
 
 // addOnDemand adds a server on demand. It returns false if no hall has room.
@@ -171,7 +171,7 @@
 	t := make(Targets, len(in.Halls))
 	for i := range t {
 		t[i][Spot] = min(spot, in.most(i, Spot))
-		t[i][OnDemand] = max(0, in.Offer.Least-t[i][Spot])
+		t[i][OnDemand] = max(0, in.Offer.MinServers-t[i][Spot])
 	}
 	return t
 }
--- a/pkg/autoscale/shrink.go
+++ b/pkg/autoscale/scaledown.go
@@ -23,7 +23,7 @@
 // make room for others.
 type shrinkRoom struct{ spare, swaps int }
 
-func (p *Planner) shrinkRoom(targets Book) shrinkRoom {
+func (p *Planner) shrinkRoom(targets HallCounts) shrinkRoom {
 	ready, wanted := 0, 0
 	for _, name := range p.names() {
 		ready += p.hall(name).ready.Sum()
@@ -38,7 +38,7 @@
 
 // shrink gives up servers that are not wanted, once those wanted in their place are there:
 // a few at a time, the dearest first.
-func (p *Planner) shrink(targets Book, now time.Time) []Order {
+func (p *Planner) shrink(targets HallCounts, now time.Time) []Order {
 	if now.Sub(p.shrunk) < shrinkEvery {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // giveUp is how many servers of a kind a hall gives up. They are taken off the room.
-func (p *Planner) giveUp(room *shrinkRoom, hall string, k Kind, targets Book, now time.Time) int {
+func (p *Planner) giveUp(room *shrinkRoom, hall string, k Kind, targets HallCounts, now time.Time) int {
 	ordered, wanted := p.ordered[hall][k], targets[hall][k]
 	over := ordered - wanted
 	if over <= 0 || over < least(ordered) && wanted > 0 {
@@ -80,7 +80,7 @@
 }
 
 // over tells whether more servers of a kind are ordered than wanted.
-func (p *Planner) over(k Kind, targets Book) bool {
+func (p *Planner) over(k Kind, targets HallCounts) bool {
 	ordered, wanted := 0, 0
 	for _, name := range p.names() {
 		ordered += p.ordered[name][k]
@@ -91,12 +91,12 @@
 
 // full tells whether a hall has no room for more of a kind though more are wanted. Where spot
 // servers were taken away, none are given up for others.
-func (p *Planner) full(hall string, k Kind, targets Book) bool {
+func (p *Planner) full(hall string, k Kind, targets HallCounts) bool {
 	h := p.hall(hall)
 	if k == OnDemand && p.spotRefused() {
 		return false
 	}
-	return !h.refused[k] && targets[hall][k] > p.ordered[hall][k] && h.ready.Sum() >= p.offer.Most
+	return !h.refused[k] && targets[hall][k] > p.ordered[hall][k] && h.ready.Sum() >= p.offer.MaxServers
 }
 
 // spotRefused tells whether any hall has no spot servers to be had at present.
--- a/pkg/autoscale/service.go
+++ b/pkg/autoscale/service.go
@@ -23,8 +23,8 @@
 
 // Offer is what can be ordered for a service.
 type Offer struct {
-	// Least and Most bound the servers of both kinds in each hall.
-	Least, Most int
+	// MinServers and MaxServers bound the servers of both kinds in each hall.
+	MinServers, MaxServers int
 	// Boot is the time until an ordered server serves.
 	Boot time.Duration
 	// SpotPrice is that of a spot server, as a share of one on demand; zero if there are
@@ -43,13 +43,13 @@
 
 // Load is what is asked of a service.
 type Load struct {
-	// Busy is how many servers would be busy all the time with it.
-	Busy float64
+	// BusyServers is how many servers would be busy all the time with it.
+	BusyServers float64
 	// Known tells that it could be worked out: of a new service, what a server can do is
 	// not known.
 	Known bool
-	// Speed is the tokens a second that a server was taken to prefill, for the logs.
-	Speed float64
+	// PrefillRate is the tokens a second that a server was taken to prefill, for the logs.
+	PrefillRate float64
 }
 
 // Order sets the number of servers of a kind in a hall.
@@ -58,6 +58,6 @@
 	Hall    string
 	Kind    Kind
 	Count   int
-	// Before is the number that was ordered until now.
-	Before int
+	// Previous is the number that was ordered until now.
+	Previous int
 }
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -98,9 +98,9 @@
 // Now is the elapsed time at this moment, to within some milliseconds after a suspension.
 func Now() time.Time { return time.Now().Add(machine.recent()) }
 
-// Exact is the elapsed time at this moment, for decisions that may not be taken even just after a
+// NowExact is the elapsed time at this moment, for decisions that may not be taken even just after a
 // suspension.
-func Exact() time.Time { return time.Now().Add(machine.update()) }
+func NowExact() time.Time { return time.Now().Add(machine.update()) }
 
 // Since is the time that has passed since a moment.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
@@ -108,14 +108,14 @@
 // Until is the time that is left until a moment.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended is for how long the machine has been suspended since the process began.
-func Suspended() time.Duration { return machine.update() }
+// TotalSuspended is for how long the machine has been suspended since the process began.
+func TotalSuspended() time.Duration { return machine.update() }
 
-// Wall is what the wall clock showed at a moment.
-func Wall(t time.Time) time.Time { return t.Add(-time.Duration(machine.total.Load())).Round(0) }
+// WallTime is what the wall clock showed at a moment.
+func WallTime(t time.Time) time.Time { return t.Add(-time.Duration(machine.total.Load())).Round(0) }
 
-// Suspend lets the clock go on as if the machine had been suspended for some time. Tests use it.
-func Suspend(d time.Duration) {
+// SimulateSuspend lets the clock go on as if the machine had been suspended for some time. Tests use it.
+func SimulateSuspend(d time.Duration) {
 	machine.simulated.Add(int64(d))
 	machine.update()
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -55,7 +55,7 @@
 	time.Sleep(20 * time.Millisecond)
 	assert.GreaterOrEqual(t, Since(a), 20*time.Millisecond)
 	assert.Less(t, Until(a), time.Duration(0))
-	assert.False(t, Exact().Before(a))
+	assert.False(t, NowExact().Before(a))
 }
 
 func BenchmarkNow(b *testing.B) {
@@ -66,14 +66,14 @@
 
 func BenchmarkExact(b *testing.B) {
 	for b.Loop() {
-		Exact()
+		NowExact()
 	}
 }
 
 func TestSimulatedSuspension(t *testing.T) {
-	before := Exact()
-	Suspend(time.Hour)
+	before := NowExact()
+	SimulateSuspend(time.Hour)
 	assert.GreaterOrEqual(t, Since(before), time.Hour)
-	assert.GreaterOrEqual(t, Exact().Sub(before), time.Hour)
-	assert.WithinDuration(t, time.Now().Round(0), Wall(Now()), time.Second, "the wall clock is not moved")
+	assert.GreaterOrEqual(t, NowExact().Sub(before), time.Hour)
+	assert.WithinDuration(t, time.Now().Round(0), WallTime(Now()), time.Second, "the wall clock is not moved")
 }
--- a/pkg/duties/duties.go
+++ b/pkg/duties/duties.go
@@ -31,25 +31,25 @@
 // Cloud is where the duties' calls go.
 type Cloud interface {
 	ReportUsage(ctx context.Context, by Caller, r metering.Report) error
-	// OrderServers returns a *NoneAvailableError where more servers can't be had at present.
+	// OrderServers returns a *NoCapacityError where more servers can't be had at present.
 	OrderServers(ctx context.Context, by Caller, o autoscale.Order) error
 }
 
-// NoneAvailableError says that a hall has no more servers of a kind at present.
-type NoneAvailableError struct {
+// NoCapacityError says that a hall has no more servers of a kind at present.
+type NoCapacityError struct {
 	Hall string
 	Kind autoscale.Kind
 }
 
-func (e *NoneAvailableError) Error() string {
+func (e *NoCapacityError) Error() string {
 	return fmt.Sprintf("no servers %s are available in hall %s at present: order elsewhere, or again later", e.Kind, e.Hall)
 }
 
-// Holder tells whether this box holds the lease, and has the duties' state written with it.
-type Holder interface {
+// Lease tells whether this box holds the lease, and has the duties' state written with it.
+type Lease interface {
 	Holding() (lease.Holding, bool)
-	Save() uint64
-	Saved() uint64
+	RequestSave() uint64
+	LastSaved() uint64
 }
 
 const (
@@ -70,7 +70,7 @@
 // caller makes calls under the lease.
 type caller struct {
 	box    string
-	holder Holder
+	holder Lease
 	// underWay counts the calls that have begun and not ended.
 	underWay atomic.Int32
 }
@@ -91,40 +91,40 @@
 	return by, f(ctx, by)
 }
 
-// Deps are what Duties are built on.
+// Deps are what a Runner is built on.
 type Deps struct {
-	Box    string
-	Holder Holder
-	Cloud  Cloud
+	Box   string
+	Lease Lease
+	Cloud Cloud
 	// Reporter and Scaler are nil where the box has not that duty.
 	Reporter *Reporter
 	Scaler   *Scaler
 	Logger   log.Logger
 }
 
-// Duties runs the duties while this box holds the lease.
-type Duties struct {
+// Runner runs the duties while this box holds the lease.
+type Runner struct {
 	Deps
 	calls *caller
 }
 
 // New returns duties that hold nothing yet.
-func New(d Deps) *Duties {
-	calls := &caller{box: d.Box, holder: d.Holder}
+func New(d Deps) *Runner {
+	calls := &caller{box: d.Box, holder: d.Lease}
 	if d.Reporter != nil {
 		d.Reporter.attach(calls, d.Cloud, d.Logger)
 	}
 	if d.Scaler != nil {
 		d.Scaler.attach(calls, d.Cloud, d.Logger)
 	}
-	return &Duties{Deps: d, calls: calls}
+	return &Runner{Deps: d, calls: calls}
 }
 
 // idleCheck is how often is looked whether a call is still under way.
 const idleCheck = 5 * time.Millisecond
 
 // AwaitIdle waits until no call is under way. It returns false if ctx ends before that.
-func (d *Duties) AwaitIdle(ctx context.Context) bool {
+func (d *Runner) AwaitIdle(ctx context.Context) bool {
 	for d.calls.underWay.Load() > 0 {
 		if ctx.Err() != nil {
 			return false
@@ -136,7 +136,7 @@
 
 // Run does the duties until ctx ends. Each has a loop of its own, so that a slow call of one
 // holds up no other.
-func (d *Duties) Run(ctx context.Context) {
+func (d *Runner) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	if d.Reporter != nil {
 		wg.Go(func() { d.every(ctx, d.Reporter.step) })
@@ -148,7 +148,7 @@
 }
 
 // every steps a duty while the lease is held.
-func (d *Duties) every(ctx context.Context, step func(context.Context)) {
+func (d *Runner) every(ctx context.Context, step func(context.Context)) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -156,7 +156,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if _, ok := d.Holder.Holding(); ok {
+			if _, ok := d.Lease.Holding(); ok {
 				step(ctx)
 			}
 		}
@@ -165,26 +165,26 @@
 
 // state is what the duties hand on with the lease.
 type state struct {
-	Metering *metering.Ledger          `json:"metering,omitempty"`
-	Books    map[string]autoscale.Book `json:"books,omitempty"`
+	Metering *metering.Ledger                `json:"metering,omitempty"`
+	Books    map[string]autoscale.HallCounts `json:"books,omitempty"`
 }
 
 // State is what the next holder of the lease goes on from.
-func (d *Duties) State() []byte {
+func (d *Runner) State() []byte {
 	var s state
 	if d.Reporter != nil {
 		s.Metering = d.Reporter.Ledger()
 	}
 	if d.Scaler != nil {
-		s.Books = d.Scaler.Books()
+		s.Books = d.Scaler.Ordered()
 	}
 	// Plain structs always encode.
 	data, _ := json.Marshal(s)
 	return data
 }
 
-// Take goes on from what the holder before has left.
-func (d *Duties) Take(data []byte) {
+// Restore goes on from what the holder before has left.
+func (d *Runner) Restore(data []byte) {
 	var s state
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &s); err != nil {
--- a/pkg/duties/duties_test.go
+++ b/pkg/duties/duties_test.go
@@ -34,7 +34,7 @@
 	return lease.Holding{Fence: h.fence, Until: h.until}, time.Now().Before(h.until)
 }
 
-func (h *holder) Save() uint64 {
+func (h *holder) RequestSave() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.wanted++
@@ -44,7 +44,7 @@
 	return h.wanted
 }
 
-func (h *holder) Saved() uint64 {
+func (h *holder) LastSaved() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.saved
@@ -137,19 +137,19 @@
 	holder    *holder
 	cloud     *cloudFake
 	collector *metering.Collector
-	duties    *Duties
+	duties    *Runner
 	servers   []autoscale.Server
 }
 
 func newBox(cloud *cloudFake) *box {
 	b := &box{holder: &holder{}, cloud: cloud, collector: metering.NewCollector()}
-	names := map[metering.OrganisationKey]string{metering.KeyOf("alpha"): "alpha"}
+	names := map[metering.OrganisationHash]string{metering.HashOrganisation("alpha"): "alpha"}
 	b.duties = New(Deps{
-		Box: "box", Holder: b.holder, Cloud: cloud, Logger: log.NewNopLogger(),
-		Reporter: NewReporter(ReporterDeps{Length: windowLength, Clock: wall, Collector: b.collector, Names: func() map[metering.OrganisationKey]string { return names }}),
-		Scaler: NewScaler(ScalerDeps{Policy: autoscale.ExpectedLoss{Value: 12}, Services: func(time.Time) []Service {
-			offer := autoscale.Offer{Least: 1, Most: 20, Boot: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"east": 1}}
-			return []Service{{Name: "models", Offer: offer, Servers: b.servers, Load: autoscale.Load{Busy: 2, Known: true}}}
+		Box: "box", Lease: b.holder, Cloud: cloud, Logger: log.NewNopLogger(),
+		Reporter: NewReporter(ReporterDeps{WindowLength: windowLength, Clock: wall, Collector: b.collector, OrganisationNames: func() map[metering.OrganisationHash]string { return names }}),
+		Scaler: NewScaler(ScalerDeps{Policy: autoscale.ExpectedLoss{WorkValue: 12}, Services: func(time.Time) []Service {
+			offer := autoscale.Offer{MinServers: 1, MaxServers: 20, Boot: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"east": 1}}
+			return []Service{{Name: "models", Offer: offer, Servers: b.servers, Load: autoscale.Load{BusyServers: 2, Known: true}}}
 		}}),
 	})
 	for range 5 {
@@ -160,7 +160,7 @@
 
 // hold gives the box the lease.
 func (b *box) hold(fence uint64, d time.Duration, state []byte) {
-	b.duties.Take(state)
+	b.duties.Restore(state)
 	b.holder.set(func(h *holder) { h.fence, h.until = fence, time.Now().Add(d) })
 }
 
@@ -168,8 +168,8 @@
 func (b *box) count(n uint32) { b.countIn(metering.WindowAt(time.Now(), windowLength), n) }
 
 func (b *box) countIn(w metering.Window, n uint32) {
-	b.collector.Take("other", &usagepb.Usage{Incarnation: 1, Windows: []*usagepb.Window{
-		{Number: int64(w), Organisations: []uint64{uint64(metering.KeyOf("alpha"))}, Counts: []uint32{n}},
+	b.collector.Merge("other", &usagepb.Usage{Incarnation: 1, Windows: []*usagepb.Window{
+		{Number: int64(w), Organisations: []uint64{uint64(metering.HashOrganisation("alpha"))}, Counts: []uint32{n}},
 	}})
 }
 
@@ -290,7 +290,7 @@
 // A lease is handed over once no call is under way any more.
 func TestCallsUnderWayAreAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Deps{Box: "box", Holder: &holder{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
+		d := New(Deps{Box: "box", Lease: &holder{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
 		assert.True(t, d.AwaitIdle(context.Background()))
 		go d.calls.call(context.Background(), func(context.Context, Caller) error {
 			time.Sleep(300 * time.Millisecond)
@@ -310,17 +310,17 @@
 		a.hold(7, time.Hour, nil)
 		time.Sleep(3 * time.Second)
 		require.NotEmpty(t, cloud.ordered())
-		books := a.duties.Scaler.Books()
+		books := a.duties.Scaler.Ordered()
 		a.holder.set(func(h *holder) { h.until = time.Now() })
 		b.hold(9, time.Hour, a.duties.State())
-		assert.Equal(t, books, b.duties.Scaler.Books())
+		assert.Equal(t, books, b.duties.Scaler.Ordered())
 	})
 }
 
 // Servers that can't be had are asked for again now and then, not all the time.
 func TestRefusedOrdersAreNotRepeatedAtOnce(t *testing.T) {
 	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
-		cloud.err = &NoneAvailableError{Hall: "east", Kind: autoscale.Spot}
+		cloud.err = &NoCapacityError{Hall: "east", Kind: autoscale.Spot}
 		b := start()
 		b.hold(7, time.Hour, nil)
 		time.Sleep(20 * time.Second)
@@ -331,7 +331,7 @@
 
 func TestStateThatCanNotBeReadIsBegunAnew(t *testing.T) {
 	b := newBox(&cloudFake{})
-	b.duties.Take([]byte("{"))
+	b.duties.Restore([]byte("{"))
 	assert.Zero(t, b.duties.Reporter.Ledger().Next)
-	assert.Empty(t, b.duties.Scaler.Books())
+	assert.Empty(t, b.duties.Scaler.Ordered())
 }
--- a/pkg/duties/reporter.go
+++ b/pkg/duties/reporter.go
@@ -16,12 +16,12 @@
 
 // ReporterDeps are what a Reporter is built on.
 type ReporterDeps struct {
-	// Length is that of a window.
-	Length    time.Duration
-	Clock     func(time.Time) time.Time
-	Collector *metering.Collector
-	// Names returns the organisations by their keys.
-	Names func() map[metering.OrganisationKey]string
+	// WindowLength is that of a window.
+	WindowLength time.Duration
+	Clock        func(time.Time) time.Time
+	Collector    *metering.Collector
+	// OrganisationNames returns the organisations by their keys.
+	OrganisationNames func() map[metering.OrganisationHash]string
 }
 
 // Reporter closes windows, has them recorded, and reports them.
@@ -40,12 +40,12 @@
 
 // ReporterStatus is what was reported, for operators.
 type ReporterStatus struct {
-	// Last is the last window reported, at a time.
-	Last     metering.Window
-	At       time.Time
-	Reported int
-	Failed   int
-	Waiting  int
+	// LastWindow is the last window reported, at a time.
+	LastWindow     metering.Window
+	LastReportedAt time.Time
+	Reported       int
+	Failed         int
+	Pending        int
 }
 
 // NewReporter returns a reporter that has closed nothing yet.
@@ -66,7 +66,7 @@
 func (r *Reporter) Status() ReporterStatus {
 	var s ReporterStatus
 	r.status.with(func(x *ReporterStatus) { s = *x })
-	r.ledger.with(func(l *metering.Ledger) { s.Waiting = len(l.Closed) })
+	r.ledger.with(func(l *metering.Ledger) { s.Pending = len(l.Closed) })
 	return s
 }
 
@@ -85,14 +85,14 @@
 func (r *Reporter) step(ctx context.Context) {
 	now := clock.Now()
 	if r.close(r.Clock(now)) {
-		r.recorded.Store(r.calls.holder.Save())
+		r.recorded.Store(r.calls.holder.RequestSave())
 	}
-	if r.calls.holder.Saved() < r.recorded.Load() || now.Before(r.retryAt) {
+	if r.calls.holder.LastSaved() < r.recorded.Load() || now.Before(r.retryAt) {
 		return
 	}
 	var due metering.Report
 	ok := false
-	r.ledger.with(func(l *metering.Ledger) { due, ok = l.Due() })
+	r.ledger.with(func(l *metering.Ledger) { due, ok = l.NextReport() })
 	if ok {
 		r.report(ctx, due)
 	}
@@ -103,8 +103,8 @@
 	var closed []metering.Report
 	skipped := 0
 	r.ledger.with(func(l *metering.Ledger) {
-		l.Begin(r.first(now))
-		closed, skipped = l.Close(now, r.Length, r.total)
+		l.StartAt(r.first(now))
+		closed, skipped = l.CloseEnded(now, r.WindowLength, r.total)
 	})
 	if skipped > 0 {
 		_ = level.Error(r.logger).Log("msg", "windows not reported", "count", skipped, "reason", "no box held the lease for too long", "outcome", "their usage is in the requests' log lines only")
@@ -119,8 +119,8 @@
 // first is where a ledger begins: at the first window in which anything was counted, or a
 // little back. Boxes serve before one of them holds the lease for the first time.
 func (r *Reporter) first(now time.Time) metering.Window {
-	first := metering.WindowAt(now.Add(-beginBack), r.Length)
-	if counted, ok := r.Collector.First(); ok {
+	first := metering.WindowAt(now.Add(-beginBack), r.WindowLength)
+	if counted, ok := r.Collector.FirstWindow(); ok {
 		return min(counted, first)
 	}
 	return first
@@ -129,7 +129,7 @@
 // total is the content of a window.
 func (r *Reporter) total(w metering.Window) map[string]int {
 	total, boxes := r.Collector.Total(w)
-	names := r.Names()
+	names := r.OrganisationNames()
 	counts := make(map[string]int, len(total))
 	for key, n := range total {
 		name, ok := names[key]
@@ -156,13 +156,13 @@
 		_ = level.Warn(r.logger).Log("msg", "usage not reported", "window", due.Window, "fence", by.Fence, "after", now.Sub(begun), "err", err, "outcome", "repeated as it is")
 		return
 	}
-	r.ledger.with(func(l *metering.Ledger) { l.Reported(due.Window) })
+	r.ledger.with(func(l *metering.Ledger) { l.MarkReported(due.Window) })
 	r.status.with(func(s *ReporterStatus) {
 		s.Reported++
-		s.Last, s.At = due.Window, now
+		s.LastWindow, s.LastReportedAt = due.Window, now
 	})
 	_ = level.Info(r.logger).Log("msg", "usage reported", "window", due.Window, "fence", by.Fence, "organisations", len(due.Counts), "requests", sum(due.Counts),
-		"late_ms", r.Clock(now).Sub(due.Window.End(r.Length)).Milliseconds(), "after", now.Sub(begun))
+		"late_ms", r.Clock(now).Sub(due.Window.End(r.WindowLength)).Milliseconds(), "after", now.Sub(begun))
 }
 
 func sum(counts map[string]int) int {
--- a/pkg/duties/scaler.go
+++ b/pkg/duties/scaler.go
@@ -40,7 +40,7 @@
 	logger log.Logger
 
 	planners guarded[map[string]*autoscale.Planner]
-	books    guarded[map[string]autoscale.Book]
+	books    guarded[map[string]autoscale.HallCounts]
 	status   guarded[map[string]autoscale.Status]
 	retryAt  time.Time
 	// logged is when the state of a service was last written to the log.
@@ -59,10 +59,10 @@
 	s.calls, s.cloud, s.logger = calls, cloud, logger
 }
 
-// Books are what is ordered, by service.
-func (s *Scaler) Books() map[string]autoscale.Book {
-	var books map[string]autoscale.Book
-	s.books.with(func(b *map[string]autoscale.Book) { books = maps.Clone(*b) })
+// Ordered are what is ordered, by service.
+func (s *Scaler) Ordered() map[string]autoscale.HallCounts {
+	var books map[string]autoscale.HallCounts
+	s.books.with(func(b *map[string]autoscale.HallCounts) { books = maps.Clone(*b) })
 	return books
 }
 
@@ -74,8 +74,8 @@
 }
 
 // take goes on from the books of the holder before.
-func (s *Scaler) take(books map[string]autoscale.Book) {
-	s.books.with(func(b *map[string]autoscale.Book) { *b = maps.Clone(books) })
+func (s *Scaler) take(books map[string]autoscale.HallCounts) {
+	s.books.with(func(b *map[string]autoscale.HallCounts) { *b = maps.Clone(books) })
 	s.planners.with(func(p *map[string]*autoscale.Planner) { *p = nil })
 }
 
@@ -90,12 +90,12 @@
 		orders, status := p.Plan(service.Offer, service.Servers, service.Load, now)
 		s.log(service.Name, len(orders) > 0, status, now)
 		s.placeOrders(ctx, p, orders)
-		s.note(service.Name, p.Book(), status)
+		s.note(service.Name, p.Ordered(), status)
 	}
 }
 
 func (s *Scaler) planner(service string, now time.Time) *autoscale.Planner {
-	books := s.Books()
+	books := s.Ordered()
 	var planner *autoscale.Planner
 	s.planners.with(func(p *map[string]*autoscale.Planner) {
 		if *p == nil {
@@ -118,7 +118,7 @@
 			continue
 		}
 		err := s.placeOrder(ctx, p, o)
-		var none *NoneAvailableError
+		var none *NoCapacityError
 		failed = err != nil && !errors.As(err, &none)
 	}
 	if failed {
@@ -132,25 +132,25 @@
 		return s.cloud.OrderServers(ctx, by, o)
 	})
 	now := clock.Now()
-	var none *NoneAvailableError
+	var none *NoCapacityError
 	outcome := "ordered"
 	switch {
 	case errors.As(err, &none):
-		p.Refused(o, now)
+		p.MarkUnavailable(o, now)
 		outcome = "ordered elsewhere"
 	case err != nil:
 		p.Undo(o)
 		outcome = "planned again"
 	}
-	_ = level.Info(s.logger).Log("msg", "servers ordered", "service", o.Service, "hall", o.Hall, "kind", o.Kind, "count", o.Count, "before", o.Before,
+	_ = level.Info(s.logger).Log("msg", "servers ordered", "service", o.Service, "hall", o.Hall, "kind", o.Kind, "count", o.Count, "before", o.Previous,
 		"fence", by.Fence, "after", now.Sub(begun), "outcome", outcome, "err", err)
 	return err
 }
 
-func (s *Scaler) note(service string, book autoscale.Book, status autoscale.Status) {
-	s.books.with(func(b *map[string]autoscale.Book) {
+func (s *Scaler) note(service string, book autoscale.HallCounts, status autoscale.Status) {
+	s.books.with(func(b *map[string]autoscale.HallCounts) {
 		if *b == nil {
-			*b = make(map[string]autoscale.Book)
+			*b = make(map[string]autoscale.HallCounts)
 		}
 		(*b)[service] = book
 	})
@@ -168,12 +168,12 @@
 		return
 	}
 	s.logged[service] = now
-	_ = level.Info(s.logger).Log("msg", "servers planned", "service", service, "speed", math.Round(status.Load.Speed), "busy", fmt.Sprintf("%.1f", status.Load.Busy), "known", status.Load.Known,
-		"peak", fmt.Sprintf("%.1f", status.Peak), "wanted", text(status.Targets), "ready", text(status.Ready), "leaving", text(status.Leaving))
+	_ = level.Info(s.logger).Log("msg", "servers planned", "service", service, "speed", math.Round(status.Load.PrefillRate), "busy", fmt.Sprintf("%.1f", status.Load.BusyServers), "known", status.Load.Known,
+		"peak", fmt.Sprintf("%.1f", status.ForecastPeak), "wanted", text(status.Targets), "ready", text(status.Ready), "leaving", text(status.Leaving))
 }
 
 // text writes the servers of each hall as "hall:on demand+spot".
-func text(b autoscale.Book) string {
+func text(b autoscale.HallCounts) string {
 	var list []string
 	for _, hall := range slices.Sorted(maps.Keys(b)) {
 		list = append(list, fmt.Sprintf("%s:%d+%d", hall, b[hall][autoscale.OnDemand], b[hall][autoscale.Spot]))
--- a/pkg/fleetclock/clock.go
+++ b/pkg/fleetclock/clock.go
@@ -53,25 +53,25 @@
 
 // wallOffset is the offset of this box's own wall clock from its steady clock.
 func (c *Clock) wallOffset(now time.Time) time.Duration {
-	return time.Duration(clock.Wall(now).UnixNano()) - c.steady(now)
+	return time.Duration(clock.WallTime(now).UnixNano()) - c.steady(now)
 }
 
-// Wall is the reading of this box's wall clock, to be told to the collecting box.
-func Wall(now time.Time) int64 { return clock.Wall(now).UnixMilli() }
+// WallMillis is the reading of this box's wall clock, to be told to the collecting box.
+func WallMillis(now time.Time) int64 { return clock.WallTime(now).UnixMilli() }
 
-// Read takes in the wall clock of another box, as it stood when its message came.
-func (c *Clock) Read(box string, wallMillis int64, received time.Time) {
+// AddReading takes in the wall clock of another box, as it stood when its message came.
+func (c *Clock) AddReading(box string, wallMillis int64, received time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at := c.steady(received)
 	c.readings[box] = reading{offset: time.Duration(wallMillis)*time.Millisecond - at, heard: at}
 }
 
-// Tell is this box's estimate, to be told to the others.
-func (c *Clock) Tell(now time.Time) int64 { return c.Now(now).UnixMilli() }
+// EstimateMillis is this box's estimate, to be told to the others.
+func (c *Clock) EstimateMillis(now time.Time) int64 { return c.Now(now).UnixMilli() }
 
-// Told takes in the estimate of the collecting box, as it stood when its message came.
-func (c *Clock) Told(millis int64, received time.Time) {
+// SetCollectorEstimate takes in the estimate of the collecting box, as it stood when its message came.
+func (c *Clock) SetCollectorEstimate(millis int64, received time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at := c.steady(received)
--- a/pkg/fleetclock/clock_test.go
+++ b/pkg/fleetclock/clock_test.go
@@ -17,11 +17,11 @@
 		c := New()
 		now := time.Now()
 		for i := range 9 {
-			wall := Wall(now)
+			wall := WallMillis(now)
 			if i < 4 {
 				wall += 2000
 			}
-			c.Read(fmt.Sprint("box-", i), wall, now)
+			c.AddReading(fmt.Sprint("box-", i), wall, now)
 		}
 		assert.WithinDuration(t, now, c.Now(now), near, "four of ten boxes' clocks have jumped")
 	})
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
 		for i := range 5 {
-			c.Read(fmt.Sprint("box-", i), Wall(time.Now())+5000, time.Now())
+			c.AddReading(fmt.Sprint("box-", i), WallMillis(time.Now())+5000, time.Now())
 		}
 		time.Sleep(2 * heardFor)
 		assert.WithinDuration(t, time.Now(), c.Now(time.Now()), near)
@@ -42,7 +42,7 @@
 func TestWordOfTheCollectorCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
-		c.Told(Wall(time.Now())+3000, time.Now())
+		c.SetCollectorEstimate(WallMillis(time.Now())+3000, time.Now())
 		time.Sleep(time.Minute)
 		assert.WithinDuration(t, time.Now().Add(3*time.Second), c.Now(time.Now()), near)
 		time.Sleep(2 * toldFor)
--- a/pkg/lease/tell.go
+++ b/pkg/lease/announce.go
@@ -12,16 +12,16 @@
 const kind = "lease"
 
 // fence is this box's own, zero if it does not hold the lease.
-func (k *Keeper) fence() uint64 {
+func (k *Manager) fence() uint64 {
 	h, _ := k.Holding()
 	return h.Fence
 }
 
 // tell tells the other boxes of a record.
-func (k *Keeper) tell(s Stored) {
+func (k *Manager) tell(s VersionedRecord) {
 	m := &leasepb.Lease{Holder: s.Holder, Incarnation: s.Incarnation, Fence: s.Fence, Revision: s.Revision}
 	if s.Holder == k.Box {
-		m.Fence, m.Told = max(s.Fence, k.fence()), k.Told()
+		m.Fence, m.Told = max(s.Fence, k.fence()), k.Announcement()
 	}
 	body, err := proto.Marshal(m)
 	if err != nil || !k.Port.Send(kind, body, k.Peers()...) {
@@ -30,23 +30,23 @@
 }
 
 // hear takes a datagram in.
-func (k *Keeper) hear(d datagram.Message) {
+func (k *Manager) hear(d datagram.Message) {
 	m := &leasepb.Lease{}
 	if err := proto.Unmarshal(d.Body, m); err != nil {
 		_ = level.Debug(k.Logger).Log("msg", "lease message dropped", "from", d.Box, "err", err)
 		return
 	}
-	s := Stored{Revision: m.GetRevision(), Record: Record{Holder: m.GetHolder(), Incarnation: m.GetIncarnation(), Fence: m.GetFence()}}
+	s := VersionedRecord{Revision: m.GetRevision(), Record: Record{Holder: m.GetHolder(), Incarnation: m.GetIncarnation(), Fence: m.GetFence()}}
 	k.mu.Lock()
-	before := k.elector.Seen().Holder
-	k.elector.Hear(s, d.Received)
-	changed := before != k.elector.Seen().Holder
+	before := k.elector.Latest().Holder
+	k.elector.ObserveAnnounced(s, d.Received)
+	changed := before != k.elector.Latest().Holder
 	k.mu.Unlock()
 	if d.Box == m.GetHolder() && len(m.GetTold()) > 0 {
-		k.OnTold(m.GetTold(), d.Received)
+		k.OnAnnouncement(m.GetTold(), d.Received)
 	}
 	if changed {
-		k.OnHolder(s.Holder)
+		k.OnHolderChange(s.Holder)
 		_ = level.Debug(k.Logger).Log("msg", "lease heard", "holder", s.Holder, "fence", s.Fence, "revision", s.Revision)
 		k.Wake()
 	}
--- a/pkg/lease/elector.go
+++ b/pkg/lease/elector.go
@@ -11,7 +11,7 @@
 
 	// seen is the newest record known, seenAt when this box first knew it. Of a record
 	// that was only heard of, state is not known.
-	seen      Stored
+	seen      VersionedRecord
 	seenAt    time.Time
 	stateSeen bool
 	// started is when the process started, read tells that the record, or that there is
@@ -31,8 +31,8 @@
 	return &Elector{box: box, incarnation: incarnation, timing: timing, started: now, lost: now}
 }
 
-// Seen is the newest record known.
-func (e *Elector) Seen() Stored { return e.seen }
+// Latest is the newest record known.
+func (e *Elector) Latest() VersionedRecord { return e.seen }
 
 // Holding returns this box's fence and how long it may act, if it holds the lease now.
 func (e *Elector) Holding(now time.Time) (fence uint64, until time.Time, ok bool) {
@@ -44,8 +44,8 @@
 	return e.seen.Revision > 0 && e.seen.Holder == e.box && e.seen.Incarnation == e.incarnation
 }
 
-// Observe takes in a record that was read.
-func (e *Elector) Observe(s Stored, now time.Time) {
+// ObserveRead takes in a record that was read.
+func (e *Elector) ObserveRead(s VersionedRecord, now time.Time) {
 	if !e.read {
 		e.read, e.seenAt = true, now
 	}
@@ -55,8 +55,8 @@
 	e.note(s, true, now)
 }
 
-// Hear takes in what another box tells of the record: all but its state.
-func (e *Elector) Hear(s Stored, now time.Time) {
+// ObserveAnnounced takes in what another box tells of the record: all but its state.
+func (e *Elector) ObserveAnnounced(s VersionedRecord, now time.Time) {
 	if s.Revision <= e.seen.Revision {
 		return
 	}
@@ -64,7 +64,7 @@
 	e.note(s, false, now)
 }
 
-func (e *Elector) note(s Stored, whole bool, now time.Time) {
+func (e *Elector) note(s VersionedRecord, whole bool, now time.Time) {
 	if s.Revision > e.seen.Revision {
 		e.seenAt = now
 		e.stateSeen = false
@@ -91,8 +91,8 @@
 	StepWait Step = iota
 	// StepRead: read the record.
 	StepRead
-	// StepTake: write a record of this box over the one seen.
-	StepTake
+	// StepAcquire: write a record of this box over the one seen.
+	StepAcquire
 	// StepRenew: write this box's record again.
 	StepRenew
 )
@@ -113,11 +113,11 @@
 	case !e.read || e.seen.Revision > 0 && !e.stateSeen:
 		return StepRead, now
 	}
-	return StepTake, now
+	return StepAcquire, now
 }
 
 func (e *Elector) nextRenewal(now time.Time) (Step, time.Time) {
-	due := e.until.Add(e.timing.Renew - e.timing.Hold)
+	due := e.until.Add(e.timing.RenewInterval - e.timing.Validity)
 	if now.Before(due) {
 		return StepWait, due
 	}
@@ -134,49 +134,49 @@
 		// This box held it last, so that no other has called since.
 		return e.seenAt
 	case e.seen.Holder == "":
-		return later(e.seenAt.Add(delay), e.lost.Add(e.timing.Rest))
+		return later(e.seenAt.Add(delay), e.lost.Add(e.timing.Cooldown))
 	}
-	return later(e.seenAt.Add(e.timing.Take+delay), e.lost.Add(e.timing.Rest))
+	return later(e.seenAt.Add(e.timing.TakeoverDelay+delay), e.lost.Add(e.timing.Cooldown))
 }
 
-// Taking is the record that this box writes to take the lease.
-func (e *Elector) Taking() Record {
+// AcquireRecord is the record that this box writes to take the lease.
+func (e *Elector) AcquireRecord() Record {
 	r := e.seen.Record
 	r.Holder, r.Incarnation, r.Fence = e.box, e.incarnation, 0
 	r.Renewals++
 	return r
 }
 
-// Renewing is the record that this box writes to keep the lease.
-func (e *Elector) Renewing(state []byte) Record {
+// RenewRecord is the record that this box writes to keep the lease.
+func (e *Elector) RenewRecord(state []byte) Record {
 	r := e.seen.Record
 	r.Fence, r.State = e.fence, state
 	r.Renewals++
 	return r
 }
 
-// HandingOver is the record that this box writes to give the lease up.
-func (e *Elector) HandingOver(state []byte) Record {
-	r := e.Renewing(state)
+// ReleaseRecord is the record that this box writes to give the lease up.
+func (e *Elector) ReleaseRecord(state []byte) Record {
+	r := e.RenewRecord(state)
 	r.Holder, r.Incarnation, r.Fence = "", 0, 0
 	return r
 }
 
-// Taken notes that this box's taking was written. The time is from before it was sent.
-func (e *Elector) Taken(s Stored, sent, now time.Time) {
+// Acquired notes that this box's taking was written. The time is from before it was sent.
+func (e *Elector) Acquired(s VersionedRecord, sent, now time.Time) {
 	e.note(s, true, now)
 	e.fence = s.Revision
-	e.until = sent.Add(e.timing.Hold)
+	e.until = sent.Add(e.timing.Validity)
 }
 
 // Renewed notes that this box's renewal was written.
-func (e *Elector) Renewed(s Stored, sent, now time.Time) {
+func (e *Elector) Renewed(s VersionedRecord, sent, now time.Time) {
 	e.note(s, true, now)
-	e.until = later(e.until, sent.Add(e.timing.Hold))
+	e.until = later(e.until, sent.Add(e.timing.Validity))
 }
 
-// HandedOver notes that this box has given the lease up, or is about to.
-func (e *Elector) HandedOver(now time.Time) { e.lose(now) }
+// Released notes that this box has given the lease up, or is about to.
+func (e *Elector) Released(now time.Time) { e.lose(now) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/pkg/lease/histories_test.go
+++ b/pkg/lease/histories_test.go
@@ -35,7 +35,7 @@
 }
 
 type playedStore struct {
-	stored Stored
+	stored VersionedRecord
 	// late are writes that are done, if their condition still holds, at a time.
 	late []lateWrite
 }
@@ -80,7 +80,7 @@
 	sent      time.Time
 	done      time.Time
 	answered  bool
-	result    Stored
+	result    VersionedRecord
 	conflict  bool
 	submitted bool
 	record    Record
@@ -152,7 +152,7 @@
 	if h.store.stored.Revision != revision {
 		return false
 	}
-	h.store.stored = Stored{Record: r, Revision: revision + 1 + uint64(h.random.IntN(5))}
+	h.store.stored = VersionedRecord{Record: r, Revision: revision + 1 + uint64(h.random.IntN(5))}
 	return true
 }
 
@@ -182,12 +182,12 @@
 
 // submit sends a call to the store. It is done some milliseconds later, if it gets there.
 func (h *history) submit(b *playedBox, step Step) {
-	p := &pendingCall{step: step, sent: h.elapsed(b), done: h.now.Add(time.Duration(1+h.random.IntN(5)) * tickTime), revision: b.elector.Seen().Revision}
+	p := &pendingCall{step: step, sent: h.elapsed(b), done: h.now.Add(time.Duration(1+h.random.IntN(5)) * tickTime), revision: b.elector.Latest().Revision}
 	switch step {
-	case StepTake:
-		p.record = b.elector.Taking()
+	case StepAcquire:
+		p.record = b.elector.AcquireRecord()
 	case StepRenew:
-		p.record = b.elector.Renewing(nil)
+		p.record = b.elector.RenewRecord(nil)
 	}
 	b.pending = p
 }
@@ -234,9 +234,9 @@
 func (h *history) take(b *playedBox, p *pendingCall) {
 	switch {
 	case p.step == StepRead || p.conflict:
-		b.elector.Observe(p.result, h.elapsed(b))
-	case p.step == StepTake:
-		b.elector.Taken(p.result, p.sent, h.elapsed(b))
+		b.elector.ObserveRead(p.result, h.elapsed(b))
+	case p.step == StepAcquire:
+		b.elector.Acquired(p.result, p.sent, h.elapsed(b))
 		h.tell(b, p.result)
 	default:
 		b.elector.Renewed(p.result, p.sent, h.elapsed(b))
@@ -244,7 +244,7 @@
 	}
 }
 
-func (h *history) tell(from *playedBox, s Stored) {
+func (h *history) tell(from *playedBox, s VersionedRecord) {
 	for _, b := range h.boxes {
 		cut := h.now.Before(from.cutPeers) || h.now.Before(b.cutPeers) || h.now.Before(b.frozen)
 		if b == from || b.dead || cut || h.lossy && h.random.IntN(3) == 0 {
@@ -252,7 +252,7 @@
 		}
 		heard := s
 		heard.State = nil
-		b.elector.Hear(heard, h.elapsed(b))
+		b.elector.ObserveAnnounced(heard, h.elapsed(b))
 	}
 }
 
@@ -276,8 +276,8 @@
 // stop ends a box as planned: it hands over, and comes back.
 func (h *history) stop(b *playedBox) {
 	if _, _, ok := b.elector.Holding(h.elapsed(b)); ok && b.pending == nil {
-		r, revision := b.elector.HandingOver(nil), b.elector.Seen().Revision
-		b.elector.HandedOver(h.elapsed(b))
+		r, revision := b.elector.ReleaseRecord(nil), b.elector.Latest().Revision
+		b.elector.Released(h.elapsed(b))
 		if !h.now.Before(b.cutStore) && !h.now.Before(h.storeDown) && h.write(r, revision) {
 			h.tell(b, h.store.stored)
 		}
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -25,19 +25,19 @@
 	State []byte `json:"state,omitempty"`
 }
 
-// Stored is a record and the revision at which the store has it; zero if it has none.
-type Stored struct {
+// VersionedRecord is a record and the revision at which the store has it; zero if it has none.
+type VersionedRecord struct {
 	Record
 	Revision uint64
 }
 
 // Store keeps the record.
 type Store interface {
-	Read(ctx context.Context) (Stored, error)
+	Read(ctx context.Context) (VersionedRecord, error)
 	// Write replaces the record of a revision; zero makes the first one. The error is a
 	// *ConflictError if the store has another one by now. After any other error the record
 	// may have been written, or may be some seconds later.
-	Write(ctx context.Context, r Record, revision uint64) (Stored, error)
+	Write(ctx context.Context, r Record, revision uint64) (VersionedRecord, error)
 }
 
 // ConflictError says that the record has changed since it was read.
@@ -49,16 +49,16 @@
 
 // Timing are the times of a lease, all derived from its length.
 type Timing struct {
-	// Hold is how long a holder trusts its lease, from before it sent the renewal.
-	Hold time.Duration
-	// Take is how long others wait without a renewal before one takes the lease, from when
+	// Validity is how long a holder trusts its lease, from before it sent the renewal.
+	Validity time.Duration
+	// TakeoverDelay is how long others wait without a renewal before one takes the lease, from when
 	// they saw the last one.
-	Take time.Duration
-	// Rest is how long a box stays out after it may have called as a holder, so that its calls
+	TakeoverDelay time.Duration
+	// Cooldown is how long a box stays out after it may have called as a holder, so that its calls
 	// never come after those of another one within the lease's length.
-	Rest time.Duration
-	// Renew is the time between renewals.
-	Renew time.Duration
+	Cooldown time.Duration
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
 }
 
 const (
@@ -71,8 +71,8 @@
 	renewShare = 0.26
 )
 
-// TimingOf returns the times of a lease of a length.
-func TimingOf(length time.Duration) Timing {
+// TimingFor returns the times of a lease of a length.
+func TimingFor(length time.Duration) Timing {
 	share := func(s float64) time.Duration { return time.Duration(s * float64(length)) }
-	return Timing{Hold: share(holdShare), Take: length, Rest: share(restShare), Renew: share(renewShare)}
+	return Timing{Validity: share(holdShare), TakeoverDelay: length, Cooldown: share(restShare), RenewInterval: share(renewShare)}
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -15,7 +15,7 @@
 // box holds the lease.
 func TestDrawnHistoriesKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingOf(length))
+		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingFor(length))
 		h.play(40*time.Second, h.troubles(rapid.IntRange(20, 300).Draw(t, "every")))
 		require.Empty(t, h.broken())
 		h.calm, h.lossy, h.storeDown = true, false, h.now
@@ -42,7 +42,7 @@
 // excuses a call in flight is a tenth of the length.
 func TestSuspendedHoldersKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "boxes"), TimingOf(length))
+		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "boxes"), TimingFor(length))
 		h.suspends = true
 		h.play(3*time.Minute, h.troubles(400))
 		assert.Empty(t, h.broken())
@@ -53,7 +53,7 @@
 func TestClockThatStandsStillBreaksTheRules(t *testing.T) {
 	broken := 0
 	for seed := range uint64(40) {
-		h := newHistory(seed, 4, TimingOf(length))
+		h := newHistory(seed, 4, TimingFor(length))
 		h.suspends, h.steady = true, true
 		h.play(3*time.Minute, h.troubles(400))
 		if h.broken() != "" {
@@ -66,12 +66,12 @@
 
 func TestHistoriesShowEachMechanism(t *testing.T) {
 	for name, change := range map[string]func(*Timing){
-		"a holder trusts its lease too long":     func(x *Timing) { x.Hold = x.Take * 3 / 2 },
-		"others take it too soon":                func(x *Timing) { x.Take = x.Hold / 3 },
-		"who may have called does not stay away": func(x *Timing) { x.Rest = 0 },
+		"a holder trusts its lease too long":     func(x *Timing) { x.Validity = x.TakeoverDelay * 3 / 2 },
+		"others take it too soon":                func(x *Timing) { x.TakeoverDelay = x.Validity / 3 },
+		"who may have called does not stay away": func(x *Timing) { x.Cooldown = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			timing := TimingOf(length)
+			timing := TimingFor(length)
 			change(&timing)
 			for seed := range uint64(400) {
 				h := newHistory(seed, 4, timing)
@@ -128,7 +128,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHistory(3, 6, TimingOf(length))
+			h := newHistory(3, 6, TimingFor(length))
 			h.play(2*time.Second, nil)
 			before := h.holder()
 			require.NotNil(t, before)
@@ -141,7 +141,7 @@
 }
 
 func TestPlannedStopHandsOverAtOnce(t *testing.T) {
-	h := newHistory(5, 6, TimingOf(length))
+	h := newHistory(5, 6, TimingFor(length))
 	h.play(2*length, nil)
 	before := h.holder()
 	require.NotNil(t, before)
@@ -153,7 +153,7 @@
 
 // A box that was frozen or cut finds its lease gone before it calls.
 func TestFrozenHolderDoesNotCallAgain(t *testing.T) {
-	h := newHistory(6, 4, TimingOf(length))
+	h := newHistory(6, 4, TimingFor(length))
 	h.play(2*time.Second, nil)
 	before := h.holder()
 	require.NotNil(t, before)
@@ -168,17 +168,17 @@
 // A renewal that was done and not answered leaves the record as this box's own: it goes on.
 func TestRenewalWithoutAnswerIsFoundOut(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("a", 1, TimingOf(length), now)
-	e.Observe(Stored{}, now)
-	e.Taken(Stored{Record: e.Taking(), Revision: 10}, now, now)
-	renewed := Stored{Record: e.Renewing(nil), Revision: 14}
+	e := NewElector("a", 1, TimingFor(length), now)
+	e.ObserveRead(VersionedRecord{}, now)
+	e.Acquired(VersionedRecord{Record: e.AcquireRecord(), Revision: 10}, now, now)
+	renewed := VersionedRecord{Record: e.RenewRecord(nil), Revision: 14}
 	now = now.Add(2 * length)
 	_, _, ok := e.Holding(now)
 	require.False(t, ok, "nothing confirmed the lease")
-	e.Observe(renewed, now)
+	e.ObserveRead(renewed, now)
 	step, _ := e.Next(0, now)
 	assert.Equal(t, StepRenew, step)
-	e.Renewed(Stored{Record: e.Renewing(nil), Revision: 15}, now, now)
+	e.Renewed(VersionedRecord{Record: e.RenewRecord(nil), Revision: 15}, now, now)
 	fence, _, ok := e.Holding(now)
 	assert.True(t, ok)
 	assert.EqualValues(t, 10, fence, "nobody else had it meanwhile")
@@ -187,32 +187,32 @@
 // A taking that was done and not answered is not used: its revision, the fence, is not known.
 func TestTakingWithoutAnswerIsTakenAnew(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("a", 1, TimingOf(length), now)
-	e.Observe(Stored{}, now)
-	e.Observe(Stored{Record: e.Taking(), Revision: 10}, now)
+	e := NewElector("a", 1, TimingFor(length), now)
+	e.ObserveRead(VersionedRecord{}, now)
+	e.ObserveRead(VersionedRecord{Record: e.AcquireRecord(), Revision: 10}, now)
 	_, _, ok := e.Holding(now)
 	assert.False(t, ok)
 	step, _ := e.Next(0, now)
-	assert.Equal(t, StepTake, step)
+	assert.Equal(t, StepAcquire, step)
 }
 
 // What another holder left lasts: the state goes from record to record.
 func TestStateIsHandedOn(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("b", 2, TimingOf(length), now)
-	e.Hear(Stored{Record: Record{Holder: "a", Incarnation: 1}, Revision: 7}, now)
+	e := NewElector("b", 2, TimingFor(length), now)
+	e.ObserveAnnounced(VersionedRecord{Record: Record{Holder: "a", Incarnation: 1}, Revision: 7}, now)
 	now = now.Add(2 * length)
 	step, _ := e.Next(0, now)
 	require.Equal(t, StepRead, step, "a record that was only heard of is read before it is written over")
-	e.Observe(Stored{Record: Record{Holder: "a", Incarnation: 1, State: []byte("left")}, Revision: 7}, now)
+	e.ObserveRead(VersionedRecord{Record: Record{Holder: "a", Incarnation: 1, State: []byte("left")}, Revision: 7}, now)
 	step, _ = e.Next(0, now)
-	require.Equal(t, StepTake, step)
-	assert.Equal(t, "left", string(e.Taking().State))
+	require.Equal(t, StepAcquire, step)
+	assert.Equal(t, "left", string(e.AcquireRecord().State))
 }
 
 // Once a store that was away for minutes is back, a box takes the lease.
 func TestStoreAwayForMinutes(t *testing.T) {
-	h := newHistory(9, 6, TimingOf(length))
+	h := newHistory(9, 6, TimingFor(length))
 	h.play(2*time.Second, nil)
 	h.storeDown = h.now.Add(3 * time.Minute)
 	h.play(3*time.Minute, nil)
--- a/pkg/lease/keeper.go
+++ b/pkg/lease/manager.go
@@ -14,7 +14,7 @@
 	"headhill.example/headhill/pkg/datagram"
 )
 
-// Deps are what a Keeper is built on.
+// Deps are what a Manager is built on.
 type Deps struct {
 	Box         string
 	Incarnation uint64
@@ -25,20 +25,20 @@
 	// which boxes take the lease, on which those that know the same others agree.
 	Peers func() []*net.UDPAddr
 	Rank  func() int
-	// Alone tells that this box knows no other: the others may not be there yet.
-	Alone func() bool
+	// NoPeers tells that this box knows no other: the others may not be there yet.
+	NoPeers func() bool
 	// State is what the duties hand on. It is asked before each renewal.
 	State func() []byte
-	// OnTaken is told of each taking, with the state of the holder before. It runs before
+	// OnAcquired is told of each taking, with the state of the holder before. It runs before
 	// the lease is used.
-	OnTaken func(state []byte)
-	// Told is what this box tells the others with each renewal, OnTold takes it in from the
+	OnAcquired func(state []byte)
+	// Announcement is what this box tells the others with each renewal, OnAnnouncement takes it in from the
 	// holder.
-	Told   func() []byte
-	OnTold func(told []byte, received time.Time)
-	// OnHolder is told of a new holder that this box hears of.
-	OnHolder func(box string)
-	Logger   log.Logger
+	Announcement   func() []byte
+	OnAnnouncement func(told []byte, received time.Time)
+	// OnHolderChange is told of a new holder that this box hears of.
+	OnHolderChange func(box string)
+	Logger         log.Logger
 }
 
 // Holding is a lease that this box holds.
@@ -50,17 +50,17 @@
 
 // Status is what is known of the lease, for operators.
 type Status struct {
-	Holder   string
-	Fence    uint64
-	Mine     bool
-	SeenAge  time.Duration
-	Takings  int
-	Renewals int
-	Failures int
+	Holder       string
+	Fence        uint64
+	Held         bool
+	RecordAge    time.Duration
+	Acquisitions int
+	Renewals     int
+	Failures     int
 }
 
-// Keeper takes and keeps the lease for one box. One goroutine steps it; others ask.
-type Keeper struct {
+// Manager takes and keeps the lease for one box. One goroutine steps it; others ask.
+type Manager struct {
 	Deps
 	wake chan struct{}
 
@@ -96,47 +96,47 @@
 	retryMost  = 4 * time.Second
 )
 
-// NewKeeper returns a keeper that hears the port's messages from now on.
-func NewKeeper(d Deps) *Keeper {
-	k := &Keeper{Deps: d, wake: make(chan struct{}, 1), elector: NewElector(d.Box, d.Incarnation, d.Timing, clock.Exact())}
+// NewManager returns a keeper that hears the port's messages from now on.
+func NewManager(d Deps) *Manager {
+	k := &Manager{Deps: d, wake: make(chan struct{}, 1), elector: NewElector(d.Box, d.Incarnation, d.Timing, clock.NowExact())}
 	d.Port.Handle(kind, k.hear)
 	return k
 }
 
 // Holding returns the lease if this box holds it now. It is asked before each call.
-func (k *Keeper) Holding() (Holding, bool) {
+func (k *Manager) Holding() (Holding, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	fence, until, ok := k.elector.Holding(clock.Exact())
+	fence, until, ok := k.elector.Holding(clock.NowExact())
 	return Holding{Fence: fence, Until: until}, ok && !k.stopped
 }
 
 // Holder names the box that is known to hold the lease, "" if none is.
-func (k *Keeper) Holder() string {
+func (k *Manager) Holder() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.elector.Seen().Holder
+	return k.elector.Latest().Holder
 }
 
 // Status tells what is known of the lease.
-func (k *Keeper) Status() Status {
+func (k *Manager) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	now := clock.Exact()
+	now := clock.NowExact()
 	s := k.status
-	seen := k.elector.Seen()
+	seen := k.elector.Latest()
 	fence, _, mine := k.elector.Holding(now)
-	s.Holder, s.Fence, s.Mine = seen.Holder, seen.Fence, mine
+	s.Holder, s.Fence, s.Held = seen.Holder, seen.Fence, mine
 	if mine {
 		s.Fence = fence
 	}
-	s.SeenAge = now.Sub(k.elector.seenAt)
+	s.RecordAge = now.Sub(k.elector.seenAt)
 	return s
 }
 
-// Save has the state written soon. It returns a number that Saved reaches once a state
+// RequestSave has the state written soon. It returns a number that LastSaved reaches once a state
 // that was asked for after this call is in the store.
-func (k *Keeper) Save() uint64 {
+func (k *Manager) RequestSave() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.wanted++
@@ -144,15 +144,15 @@
 	return k.wanted
 }
 
-// Saved tells up to which number states are in the store.
-func (k *Keeper) Saved() uint64 {
+// LastSaved tells up to which number states are in the store.
+func (k *Manager) LastSaved() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.saved
 }
 
 // Wake has the keeper look again what is due, as when the order of the boxes has changed.
-func (k *Keeper) Wake() {
+func (k *Manager) Wake() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -160,7 +160,7 @@
 }
 
 // Run keeps the lease until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -175,8 +175,8 @@
 }
 
 // step does what is due. It returns when to step again.
-func (k *Keeper) step(ctx context.Context) time.Time {
-	now := clock.Exact()
+func (k *Manager) step(ctx context.Context) time.Time {
+	now := clock.NowExact()
 	k.mu.Lock()
 	step, due := k.elector.Next(k.delay(), now)
 	_, _, holding := k.elector.Holding(now)
@@ -184,7 +184,7 @@
 		step, due = StepRenew, now
 	}
 	if k.stopped {
-		step, due = StepWait, now.Add(k.Timing.Take)
+		step, due = StepWait, now.Add(k.Timing.TakeoverDelay)
 	}
 	if step != StepWait && now.Before(k.retryAt) {
 		step, due = StepWait, k.retryAt
@@ -193,25 +193,25 @@
 	switch step {
 	case StepRead:
 		k.ended(k.read(ctx), holding)
-	case StepTake:
+	case StepAcquire:
 		k.ended(k.take(ctx), holding)
 	case StepRenew:
 		k.ended(k.renew(ctx), holding)
 	default:
 		return due
 	}
-	return clock.Exact()
+	return clock.NowExact()
 }
 
-func (k *Keeper) delay() time.Duration {
-	if k.Alone() {
+func (k *Manager) delay() time.Duration {
+	if k.NoPeers() {
 		return aloneDelay
 	}
 	return rankDelay * time.Duration(min(k.Rank(), rankMost))
 }
 
 // ended notes how a call went.
-func (k *Keeper) ended(err error, holding bool) {
+func (k *Manager) ended(err error, holding bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil || errors.Is(err, errReread) {
@@ -224,10 +224,10 @@
 		pause = min(retryLeast<<min(k.retries, 8), retryMost)
 	}
 	k.retries++
-	k.retryAt = clock.Exact().Add(pause)
+	k.retryAt = clock.NowExact().Add(pause)
 }
 
-func (k *Keeper) read(ctx context.Context) error {
+func (k *Manager) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callMost)
 	defer cancel()
 	s, err := k.Store.Read(ctx)
@@ -236,8 +236,8 @@
 		return err
 	}
 	k.mu.Lock()
-	newer := s.Revision > k.elector.Seen().Revision
-	k.elector.Observe(s, clock.Exact())
+	newer := s.Revision > k.elector.Latest().Revision
+	k.elector.ObserveRead(s, clock.NowExact())
 	k.mu.Unlock()
 	if newer {
 		k.tell(s)
@@ -245,40 +245,40 @@
 	return nil
 }
 
-func (k *Keeper) take(ctx context.Context) error {
+func (k *Manager) take(ctx context.Context) error {
 	k.mu.Lock()
-	r, before := k.elector.Taking(), k.elector.Seen()
+	r, before := k.elector.AcquireRecord(), k.elector.Latest()
 	k.mu.Unlock()
-	sent := clock.Exact()
+	sent := clock.NowExact()
 	s, err := k.write(ctx, r, before.Revision)
 	if err != nil {
 		return err
 	}
-	k.OnTaken(before.State)
+	k.OnAcquired(before.State)
 	k.mu.Lock()
-	k.elector.Taken(s, sent, clock.Exact())
-	k.status.Takings++
+	k.elector.Acquired(s, sent, clock.NowExact())
+	k.status.Acquisitions++
 	k.mu.Unlock()
 	_ = level.Info(k.Logger).Log("msg", "lease taken", "fence", s.Revision, "before", before.Holder, "before_revision", before.Revision, "after", clock.Since(sent))
 	k.tell(s)
 	return nil
 }
 
-func (k *Keeper) renew(ctx context.Context) error {
+func (k *Manager) renew(ctx context.Context) error {
 	k.mu.Lock()
 	wanted := k.wanted
 	k.mu.Unlock()
 	state := k.State()
 	k.mu.Lock()
-	r, revision := k.elector.Renewing(state), k.elector.Seen().Revision
+	r, revision := k.elector.RenewRecord(state), k.elector.Latest().Revision
 	k.mu.Unlock()
-	sent := clock.Exact()
+	sent := clock.NowExact()
 	s, err := k.write(ctx, r, revision)
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.elector.Renewed(s, sent, clock.Exact())
+	k.elector.Renewed(s, sent, clock.NowExact())
 	k.saved = max(k.saved, wanted)
 	k.status.Renewals++
 	k.mu.Unlock()
@@ -287,7 +287,7 @@
 }
 
 // write writes a record. Where another one was written meanwhile, it reads that.
-func (k *Keeper) write(ctx context.Context, r Record, revision uint64) (Stored, error) {
+func (k *Manager) write(ctx context.Context, r Record, revision uint64) (VersionedRecord, error) {
 	sending, cancel := context.WithTimeout(ctx, callMost)
 	defer cancel()
 	s, err := k.Store.Write(sending, r, revision)
@@ -304,7 +304,7 @@
 
 // reread reads what is there in place of what was seen. It returns the error of the write
 // unless that is known now.
-func (k *Keeper) reread(ctx context.Context, cause error) error {
+func (k *Manager) reread(ctx context.Context, cause error) error {
 	if err := k.read(ctx); err != nil {
 		return errors.Join(cause, err)
 	}
@@ -315,11 +315,11 @@
 var errReread = errors.New("another record was there: it was read")
 
 // Stop ends this box's holding, so that no call begins any more. The lease itself lapses,
-// unless HandOver follows. It returns whether the box held it.
-func (k *Keeper) Stop() bool {
+// unless Release follows. It returns whether the box held it.
+func (k *Manager) Stop() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, _, holding := k.elector.Holding(clock.Exact())
+	_, _, holding := k.elector.Holding(clock.NowExact())
 	k.stopped = true
 	return holding
 }
@@ -328,21 +328,21 @@
 // have changed the record.
 const handOverTries = 2
 
-// HandOver gives the lease up after Stop, so that another box takes it at once. No call may be
+// Release gives the lease up after Stop, so that another box takes it at once. No call may be
 // under way any more: it would arrive after those of the next holder.
-func (k *Keeper) HandOver(ctx context.Context) {
+func (k *Manager) Release(ctx context.Context) {
 	state := k.State()
 	err := errReread
 	for try := 0; try < handOverTries && errors.Is(err, errReread); try++ {
 		k.mu.Lock()
 		mine := k.elector.mine()
-		r, revision := k.elector.HandingOver(state), k.elector.Seen().Revision
-		k.elector.HandedOver(clock.Exact())
+		r, revision := k.elector.ReleaseRecord(state), k.elector.Latest().Revision
+		k.elector.Released(clock.NowExact())
 		k.mu.Unlock()
 		if !mine {
 			return
 		}
-		var s Stored
+		var s VersionedRecord
 		if s, err = k.write(ctx, r, revision); err == nil {
 			k.tell(s)
 		}
--- a/pkg/metering/collector.go
+++ b/pkg/metering/collector.go
@@ -15,7 +15,7 @@
 }
 
 // counts are the requests by organisation.
-type counts map[OrganisationKey]uint32
+type counts map[OrganisationHash]uint32
 
 // Collector adds up what boxes have counted. Each count of a life of a box only grows, so
 // that the highest one heard stands.
@@ -29,11 +29,11 @@
 	return &Collector{windows: make(map[Window]map[sender]counts)}
 }
 
-// countMost bounds a count that is believed.
-const countMost = 1 << 28
+// maxCount bounds a count that is believed.
+const maxCount = 1 << 28
 
-// Take takes in what a box has counted.
-func (c *Collector) Take(box string, m *usagepb.Usage) {
+// Merge takes in what a box has counted.
+func (c *Collector) Merge(box string, m *usagepb.Usage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	from := sender{box: box, incarnation: m.GetIncarnation()}
@@ -54,16 +54,16 @@
 		senders[from] = make(counts)
 	}
 	for i, key := range w.GetOrganisations() {
-		k := OrganisationKey(key)
-		senders[from][k] = max(senders[from][k], min(w.GetCounts()[i], countMost))
+		k := OrganisationHash(key)
+		senders[from][k] = max(senders[from][k], min(w.GetCounts()[i], maxCount))
 	}
 }
 
 // Total adds up a window. Boxes is how many lives of boxes counted in it.
-func (c *Collector) Total(w Window) (total map[OrganisationKey]int, boxes int) {
+func (c *Collector) Total(w Window) (total map[OrganisationHash]int, boxes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	total = make(map[OrganisationKey]int)
+	total = make(map[OrganisationHash]int)
 	for _, counts := range c.windows[w] {
 		for key, n := range counts {
 			total[key] += int(n)
@@ -72,8 +72,8 @@
 	return total, len(c.windows[w])
 }
 
-// First is the earliest window in which anything was counted, if there is one.
-func (c *Collector) First() (Window, bool) {
+// FirstWindow is the earliest window in which anything was counted, if there is one.
+func (c *Collector) FirstWindow() (Window, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.windows) == 0 {
@@ -82,8 +82,8 @@
 	return slices.Min(slices.Collect(maps.Keys(c.windows))), true
 }
 
-// Forget drops windows that are long over.
-func (c *Collector) Forget(now Window) {
+// Evict drops windows that are long over.
+func (c *Collector) Evict(now Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	forget(c.windows, now)
--- a/pkg/metering/counter.go
+++ b/pkg/metering/counter.go
@@ -16,7 +16,7 @@
 	clock func(time.Time) time.Time
 
 	mu      sync.Mutex
-	windows map[Window]map[OrganisationKey]*count
+	windows map[Window]map[OrganisationHash]*count
 	// round numbers the messages that were made.
 	round uint64
 }
@@ -29,17 +29,17 @@
 
 // NewCounter returns a counter of windows of a length.
 func NewCounter(length time.Duration, clock func(time.Time) time.Time) *Counter {
-	return &Counter{length: length, clock: clock, windows: make(map[Window]map[OrganisationKey]*count)}
+	return &Counter{length: length, clock: clock, windows: make(map[Window]map[OrganisationHash]*count)}
 }
 
-// Begun counts a request that began to run.
-func (c *Counter) Begun(organisation string, at time.Time) {
-	w, key := WindowAt(c.clock(at), c.length), KeyOf(organisation)
+// RequestStarted counts a request that began to run.
+func (c *Counter) RequestStarted(organisation string, at time.Time) {
+	w, key := WindowAt(c.clock(at), c.length), HashOrganisation(organisation)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.windows[w]
 	if counts == nil {
-		counts = make(map[OrganisationKey]*count)
+		counts = make(map[OrganisationHash]*count)
 		c.windows[w] = counts
 		forget(c.windows, w)
 	}
--- a/pkg/metering/ledger.go
+++ b/pkg/metering/ledger.go
@@ -28,16 +28,16 @@
 	skippedMost = windowsKept - 2
 )
 
-// Begin sets where a ledger begins that has closed nothing yet.
-func (l *Ledger) Begin(first Window) {
+// StartAt sets where a ledger begins that has closed nothing yet.
+func (l *Ledger) StartAt(first Window) {
 	if l.Next == 0 {
 		l.Next = first
 	}
 }
 
-// Close closes the windows that are over, with their totals. It returns those that were
+// CloseEnded closes the windows that are over, with their totals. It returns those that were
 // closed, and how many were too long ago to be known.
-func (l *Ledger) Close(now time.Time, length time.Duration, total func(Window) map[string]int) (closed []Report, skipped int) {
+func (l *Ledger) CloseEnded(now time.Time, length time.Duration, total func(Window) map[string]int) (closed []Report, skipped int) {
 	current := WindowAt(now, length)
 	if oldest := current - skippedMost; l.Next < oldest {
 		skipped = int(oldest - l.Next)
@@ -54,16 +54,16 @@
 	return closed, skipped
 }
 
-// Due is the next window to report, if there is one.
-func (l *Ledger) Due() (Report, bool) {
+// NextReport is the next window to report, if there is one.
+func (l *Ledger) NextReport() (Report, bool) {
 	if len(l.Closed) == 0 {
 		return Report{}, false
 	}
 	return l.Closed[0], true
 }
 
-// Reported drops a window that was reported.
-func (l *Ledger) Reported(w Window) {
+// MarkReported drops a window that was reported.
+func (l *Ledger) MarkReported(w Window) {
 	if len(l.Closed) > 0 && l.Closed[0].Window == w {
 		l.Closed = l.Closed[1:]
 	}
--- a/pkg/metering/metering_test.go
+++ b/pkg/metering/metering_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, Window(340000000), w)
 	assert.Equal(t, begin.Add(windowLength), w.End(windowLength))
 	c := NewCounter(windowLength, func(t time.Time) time.Time { return t.Add(3 * time.Second) })
-	c.Begun("a", begin.Add(2*time.Second))
+	c.RequestStarted("a", begin.Add(2*time.Second))
 	require.Len(t, c.All(), 1)
 	assert.Equal(t, int64(w+1), c.All()[0].GetNumber(), "of the fleet's clock, not of the box's own")
 }
@@ -45,7 +45,7 @@
 func TestCountsSurviveTheNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		collector := NewCollector()
-		truth := make(map[OrganisationKey]int)
+		truth := make(map[OrganisationHash]int)
 		var inbox []*usagepb.Usage
 		var counters []*Counter
 		for range rapid.IntRange(1, 4).Draw(t, "boxes") {
@@ -57,8 +57,8 @@
 			for i, c := range counters {
 				for range rapid.IntRange(0, 3).Draw(t, "requests") {
 					o := fmt.Sprint("o", rapid.IntRange(0, 2).Draw(t, "organisation"))
-					c.Begun(o, now)
-					truth[KeyOf(o)]++
+					c.RequestStarted(o, now)
+					truth[HashOrganisation(o)]++
 				}
 				if rapid.Bool().Draw(t, "arrives") {
 					inbox = append(inbox, message(uint64(i), c.Changes(now)))
@@ -66,7 +66,7 @@
 			}
 			for len(inbox) > 0 && rapid.Bool().Draw(t, "take") {
 				at := rapid.IntRange(0, len(inbox)-1).Draw(t, "which")
-				collector.Take("box", inbox[at])
+				collector.Merge("box", inbox[at])
 			}
 			total, _ := collector.Total(window)
 			for key, n := range total {
@@ -74,7 +74,7 @@
 			}
 		}
 		for i, c := range counters {
-			collector.Take("box", message(uint64(i), c.Changes(now)))
+			collector.Merge("box", message(uint64(i), c.Changes(now)))
 		}
 		total, _ := collector.Total(window)
 		require.Equal(t, truth, total)
@@ -86,16 +86,16 @@
 	c := NewCollector()
 	w := WindowAt(begin, windowLength)
 	for life, n := range []uint32{5, 2} {
-		c.Take("box", message(uint64(life), []*usagepb.Window{{Number: int64(w), Organisations: []uint64{uint64(KeyOf("a"))}, Counts: []uint32{n}}}))
+		c.Merge("box", message(uint64(life), []*usagepb.Window{{Number: int64(w), Organisations: []uint64{uint64(HashOrganisation("a"))}, Counts: []uint32{n}}}))
 	}
 	total, lives := c.Total(w)
-	assert.Equal(t, map[OrganisationKey]int{KeyOf("a"): 7}, total)
+	assert.Equal(t, map[OrganisationHash]int{HashOrganisation("a"): 7}, total)
 	assert.Equal(t, 2, lives)
 }
 
 func TestChangesAreToldTwice(t *testing.T) {
 	c := NewCounter(windowLength, trueTime)
-	c.Begun("a", begin)
+	c.RequestStarted("a", begin)
 	for i, want := range []int{1, 1, 0} {
 		assert.Len(t, c.Changes(begin.Add(time.Duration(i)*tellEvery)), want, "message %d", i)
 	}
@@ -109,12 +109,12 @@
 	defer conn.Close()
 	counter := NewCounter(windowLength, trueTime)
 	var collecting []*net.UDPAddr
-	teller := NewTeller(TellerDeps{
+	teller := NewPublisher(PublisherDeps{
 		Box: "a", Port: datagram.NewPort(datagram.Deps{Box: "a", Conn: conn, Logger: log.NewNopLogger()}), Counter: counter,
 		Collector: NewCollector(), Clock: fleetclock.New(), Logger: log.NewNopLogger(),
-		Collecting: func() []*net.UDPAddr { return collecting },
+		CollectorAddrs: func() []*net.UDPAddr { return collecting },
 	})
-	counter.Begun("alpha", time.Now())
+	counter.RequestStarted("alpha", time.Now())
 	for range 4 {
 		teller.tell(counter.Changes(time.Now()))
 	}
@@ -141,7 +141,7 @@
 func TestMessagesFitADatagram(t *testing.T) {
 	w := &usagepb.Window{Number: 1}
 	for i := range 2*entriesMost + 1 {
-		w.Organisations, w.Counts = append(w.Organisations, uint64(i)), append(w.Counts, countMost)
+		w.Organisations, w.Counts = append(w.Organisations, uint64(i)), append(w.Counts, maxCount)
 	}
 	parts := split([]*usagepb.Window{w, {Number: 2, Organisations: []uint64{7}, Counts: []uint32{1}}})
 	require.Len(t, parts, 3)
@@ -149,7 +149,7 @@
 	for _, p := range parts {
 		m := message(1, p)
 		assert.Less(t, proto.Size(m), 8000)
-		c.Take("box", m)
+		c.Merge("box", m)
 	}
 	total, _ := c.Total(1)
 	assert.Len(t, total, 2*entriesMost+1)
@@ -161,24 +161,24 @@
 func TestLedgerClosesEachWindowOnce(t *testing.T) {
 	var l Ledger
 	first := WindowAt(begin, windowLength)
-	l.Begin(first)
-	closed, skipped := l.Close(begin.Add(windowLength+settle-time.Millisecond), windowLength, nothing)
+	l.StartAt(first)
+	closed, skipped := l.CloseEnded(begin.Add(windowLength+settle-time.Millisecond), windowLength, nothing)
 	assert.Empty(t, closed, "boxes may still tell what they counted")
 	assert.Zero(t, skipped)
-	closed, _ = l.Close(begin.Add(windowLength+settle), windowLength, nothing)
+	closed, _ = l.CloseEnded(begin.Add(windowLength+settle), windowLength, nothing)
 	assert.Len(t, closed, 1)
-	closed, _ = l.Close(begin.Add(windowLength+settle), windowLength, func(Window) map[string]int { panic("closed twice") })
+	closed, _ = l.CloseEnded(begin.Add(windowLength+settle), windowLength, func(Window) map[string]int { panic("closed twice") })
 	assert.Empty(t, closed)
-	due, ok := l.Due()
+	due, ok := l.NextReport()
 	require.True(t, ok)
 	assert.Equal(t, first, due.Window)
-	l.Reported(first + 1)
-	_, ok = l.Due()
+	l.MarkReported(first + 1)
+	_, ok = l.NextReport()
 	assert.True(t, ok, "another window was reported")
-	l.Reported(first)
-	_, ok = l.Due()
+	l.MarkReported(first)
+	_, ok = l.NextReport()
 	assert.False(t, ok)
-	l.Begin(first + 9)
+	l.StartAt(first + 9)
 	assert.Equal(t, first+1, l.Next, "a ledger begins once")
 }
 
@@ -187,22 +187,22 @@
 func TestLedgerCatchesUp(t *testing.T) {
 	var l Ledger
 	first := WindowAt(begin, windowLength)
-	l.Begin(first)
+	l.StartAt(first)
 	gap := 10 * windowLength
-	closed, skipped := l.Close(begin.Add(gap+settle), windowLength, nothing)
+	closed, skipped := l.CloseEnded(begin.Add(gap+settle), windowLength, nothing)
 	assert.Len(t, closed, 10)
 	assert.Zero(t, skipped)
-	closed, skipped = l.Close(begin.Add(gap+100*windowLength+settle), windowLength, nothing)
+	closed, skipped = l.CloseEnded(begin.Add(gap+100*windowLength+settle), windowLength, nothing)
 	assert.Len(t, closed, skippedMost)
 	assert.Equal(t, 100-skippedMost, skipped)
 }
 
 func TestLedgerIsBounded(t *testing.T) {
 	var l Ledger
-	l.Begin(WindowAt(begin, windowLength))
+	l.StartAt(WindowAt(begin, windowLength))
 	lost := 0
 	for i := range 2 * closedMost {
-		_, skipped := l.Close(begin.Add(time.Duration(i+1)*windowLength+settle), windowLength, nothing)
+		_, skipped := l.CloseEnded(begin.Add(time.Duration(i+1)*windowLength+settle), windowLength, nothing)
 		lost += skipped
 	}
 	assert.Len(t, l.Closed, closedMost)
@@ -218,7 +218,7 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		m := &usagepb.Usage{}
 		if proto.Unmarshal(data, m) == nil {
-			NewCollector().Take("box", m)
+			NewCollector().Merge("box", m)
 		}
 	})
 }
--- a/pkg/metering/teller.go
+++ b/pkg/metering/publisher.go
@@ -29,24 +29,24 @@
 	entriesMost = 500
 )
 
-// TellerDeps are what a Teller is built on.
-type TellerDeps struct {
+// PublisherDeps are what a Publisher is built on.
+type PublisherDeps struct {
 	Box         string
 	Incarnation uint64
 	Port        *datagram.Port
 	Counter     *Counter
 	Collector   *Collector
 	Clock       *fleetclock.Clock
-	// Collecting are the addresses of the boxes that collect, this one left out.
-	Collecting func() []*net.UDPAddr
-	Logger     log.Logger
+	// CollectorAddrs are the addresses of the boxes that collect, this one left out.
+	CollectorAddrs func() []*net.UDPAddr
+	Logger         log.Logger
 }
 
-// Teller tells the boxes that collect what this one has counted, and takes in what they
+// Publisher tells the boxes that collect what this one has counted, and takes in what they
 // are told.
-type Teller struct {
-	TellerDeps
-	// wake has the teller look at once who collects.
+type Publisher struct {
+	PublisherDeps
+	// wake has the publisher look at once who collects.
 	wake chan struct{}
 
 	// mu guards what follows: a box that ends tells once more beside Run.
@@ -57,25 +57,25 @@
 	known map[netip.AddrPort]bool
 }
 
-// NewTeller returns a teller that hears the port's messages from now on.
-func NewTeller(d TellerDeps) *Teller {
-	t := &Teller{TellerDeps: d, wake: make(chan struct{}, 1), known: make(map[netip.AddrPort]bool)}
+// NewPublisher returns a publisher that hears the port's messages from now on.
+func NewPublisher(d PublisherDeps) *Publisher {
+	t := &Publisher{PublisherDeps: d, wake: make(chan struct{}, 1), known: make(map[netip.AddrPort]bool)}
 	d.Port.Handle(kind, t.receive)
 	return t
 }
 
-func (t *Teller) receive(d datagram.Message) {
+func (t *Publisher) receive(d datagram.Message) {
 	m := &usagepb.Usage{}
 	if err := proto.Unmarshal(d.Body, m); err != nil {
 		_ = level.Debug(t.Logger).Log("msg", "usage message dropped", "from", d.Box, "err", err)
 		return
 	}
-	t.Clock.Read(d.Box, m.GetWallMs(), d.Received)
-	t.Collector.Take(d.Box, m)
+	t.Clock.AddReading(d.Box, m.GetWallMs(), d.Received)
+	t.Collector.Merge(d.Box, m)
 }
 
-// Wake has the teller look at once who collects, as when another box holds the lease.
-func (t *Teller) Wake() {
+// Wake has the publisher look at once who collects, as when another box holds the lease.
+func (t *Publisher) Wake() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -83,7 +83,7 @@
 }
 
 // Run tells what is counted until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Publisher) Run(ctx context.Context) {
 	ticker := time.NewTicker(tellEvery)
 	defer ticker.Stop()
 	for {
@@ -99,16 +99,16 @@
 }
 
 // Flush tells all that was counted, as the box is about to end.
-func (t *Teller) Flush() { t.tell(t.Counter.All()) }
+func (t *Publisher) Flush() { t.tell(t.Counter.All()) }
 
 // tell tells counts to the boxes that collect, and all that is remembered to those among them
 // that were not told before.
-func (t *Teller) tell(windows []*usagepb.Window) {
+func (t *Publisher) tell(windows []*usagepb.Window) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := clock.Now()
-	t.Collector.Forget(WindowAt(t.Clock.Now(now), t.Counter.length))
-	t.Collector.Take(t.Box, t.message(windows, now))
+	t.Collector.Evict(WindowAt(t.Clock.Now(now), t.Counter.length))
+	t.Collector.Merge(t.Box, t.message(windows, now))
 	known, joined := t.recipients()
 	if len(joined) > 0 {
 		t.send(t.Counter.All(), now, joined)
@@ -120,9 +120,9 @@
 }
 
 // recipients are the boxes that collect: those that were told before, and those that were not.
-func (t *Teller) recipients() (known, joined []*net.UDPAddr) {
+func (t *Publisher) recipients() (known, joined []*net.UDPAddr) {
 	addresses := make(map[netip.AddrPort]bool)
-	for _, a := range t.Collecting() {
+	for _, a := range t.CollectorAddrs() {
 		address := datagram.AddrPortOf(a)
 		addresses[address] = true
 		if t.known[address] {
@@ -135,12 +135,12 @@
 	return known, joined
 }
 
-func (t *Teller) message(windows []*usagepb.Window, now time.Time) *usagepb.Usage {
-	return &usagepb.Usage{Incarnation: t.Incarnation, WallMs: fleetclock.Wall(now), Windows: windows}
+func (t *Publisher) message(windows []*usagepb.Window, now time.Time) *usagepb.Usage {
+	return &usagepb.Usage{Incarnation: t.Incarnation, WallMs: fleetclock.WallMillis(now), Windows: windows}
 }
 
 // send sends counts to some boxes.
-func (t *Teller) send(windows []*usagepb.Window, now time.Time, to []*net.UDPAddr) {
+func (t *Publisher) send(windows []*usagepb.Window, now time.Time, to []*net.UDPAddr) {
 	for _, part := range split(windows) {
 		body, err := proto.Marshal(t.message(part, now))
 		if err != nil || !t.Port.Send(kind, body, to...) {
--- a/pkg/metering/window.go
+++ b/pkg/metering/window.go
@@ -19,12 +19,12 @@
 	return time.Unix(0, (int64(w)+1)*int64(length)).UTC()
 }
 
-// OrganisationKey is an organisation's name as boxes name it to each other, in short.
-type OrganisationKey uint64
+// OrganisationHash is an organisation's name as boxes name it to each other, in short.
+type OrganisationHash uint64
 
-// KeyOf is the key of an organisation.
-func KeyOf(organisation string) OrganisationKey {
-	return OrganisationKey(xxhash.Sum64String(organisation))
+// HashOrganisation is the key of an organisation.
+func HashOrganisation(organisation string) OrganisationHash {
+	return OrganisationHash(xxhash.Sum64String(organisation))
 }
 
 // windowsKept is how many windows a box remembers what was counted: those that may still
--- a/pkg/routerd/away.go
+++ b/pkg/routerd/away.go
@@ -17,13 +17,13 @@
 func (d *Daemon) watchAway(ctx context.Context) {
 	ticker := time.NewTicker(awayCheck)
 	defer ticker.Stop()
-	before := clock.Suspended()
+	before := clock.TotalSuspended()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			total := clock.Suspended()
+			total := clock.TotalSuspended()
 			if total > before {
 				_ = level.Warn(d.logger).Log("msg", "the machine was suspended", "for", total-before, "total", total, "outcome", "what is known is as old as it is")
 			}
--- a/pkg/routerd/dutygauges.go
+++ b/pkg/routerd/dutygauges.go
@@ -22,12 +22,12 @@
 func (f *fleetDuties) leaseGauge() map[string]int64 {
 	s := f.keeper.Status()
 	held := int64(0)
-	if s.Mine {
+	if s.Held {
 		held = 1
 	}
 	return map[string]int64{
-		"held": held, "fence": int64(s.Fence), "takings": int64(s.Takings), "renewals": int64(s.Renewals),
-		"failures": int64(s.Failures), "age_ms": s.SeenAge.Milliseconds(),
+		"held": held, "fence": int64(s.Fence), "takings": int64(s.Acquisitions), "renewals": int64(s.Renewals),
+		"failures": int64(s.Failures), "age_ms": s.RecordAge.Milliseconds(),
 	}
 }
 
@@ -36,7 +36,7 @@
 		return nil
 	}
 	s := f.reporter.Status()
-	return map[string]int64{"reported": int64(s.Reported), "waiting": int64(s.Waiting), "failed": int64(s.Failed), "last": int64(s.Last)}
+	return map[string]int64{"reported": int64(s.Reported), "waiting": int64(s.Pending), "failed": int64(s.Failed), "last": int64(s.LastWindow)}
 }
 
 func (f *fleetDuties) serversGauge() map[string]int64 {
@@ -45,7 +45,7 @@
 		return values
 	}
 	for service, s := range f.scaler.Status() {
-		for state, book := range map[string]autoscale.Book{"wanted": s.Targets, "ready": s.Ready, "leaving": s.Leaving} {
+		for state, book := range map[string]autoscale.HallCounts{"wanted": s.Targets, "ready": s.Ready, "leaving": s.Leaving} {
 			for hall, n := range book {
 				for _, k := range []autoscale.Kind{autoscale.OnDemand, autoscale.Spot} {
 					values[fmt.Sprintf("%s %s %s %s", service, hall, k, state)] = int64(n[k])
--- a/pkg/routerd/fleetduties.go
+++ b/pkg/routerd/fleetduties.go
@@ -41,15 +41,15 @@
 	clock     *fleetclock.Clock
 	counter   *metering.Counter
 	collector *metering.Collector
-	teller    *metering.Teller
-	keeper    *lease.Keeper
-	duties    *duties.Duties
+	teller    *metering.Publisher
+	keeper    *lease.Manager
+	duties    *duties.Runner
 	reporter  *duties.Reporter
 	scaler    *duties.Scaler
 
 	mu sync.Mutex
 	// names are the organisations of the table of a version, and of those before.
-	names        map[metering.OrganisationKey]string
+	names        map[metering.OrganisationHash]string
 	namesVersion uint64
 }
 
@@ -58,7 +58,7 @@
 	s := d.settings.Load()
 	f := &fleetDuties{
 		settings: s.Duties, roster: d.roster, directory: d.directory, balancer: balance, logger: logger,
-		clock: fleetclock.New(), collector: metering.NewCollector(), names: make(map[metering.OrganisationKey]string),
+		clock: fleetclock.New(), collector: metering.NewCollector(), names: make(map[metering.OrganisationHash]string),
 	}
 	f.counter = metering.NewCounter(s.Duties.Window, f.clock.Now)
 	for _, duty := range s.Duties.Unknown() {
@@ -67,23 +67,23 @@
 	if !f.any() {
 		return f
 	}
-	f.teller = metering.NewTeller(metering.TellerDeps{
+	f.teller = metering.NewPublisher(metering.PublisherDeps{
 		Box: s.Box.ID, Incarnation: d.roster.Incarnation(), Port: d.peers, Counter: f.counter, Collector: f.collector, Clock: f.clock,
-		Collecting: f.collecting, Logger: logger,
+		CollectorAddrs: f.collecting, Logger: logger,
 	})
-	f.keeper = lease.NewKeeper(lease.Deps{
-		Box: s.Box.ID, Incarnation: d.roster.Incarnation(), Timing: lease.TimingOf(s.Duties.Lease),
-		Store: a.Lease(access), Port: d.peers, Peers: d.roster.Peers, Rank: d.roster.Rank, Alone: func() bool { return d.roster.Count() == 1 },
-		State: f.state, OnTaken: f.taken, Told: f.told, OnTold: f.onTold, OnHolder: f.onHolder, Logger: logger,
+	f.keeper = lease.NewManager(lease.Deps{
+		Box: s.Box.ID, Incarnation: d.roster.Incarnation(), Timing: lease.TimingFor(s.Duties.Lease),
+		Store: a.Lease(access), Port: d.peers, Peers: d.roster.Peers, Rank: d.roster.Rank, NoPeers: func() bool { return d.roster.Count() == 1 },
+		State: f.state, OnAcquired: f.taken, Announcement: f.told, OnAnnouncement: f.onTold, OnHolderChange: f.onHolder, Logger: logger,
 	})
 	if s.Duties.Has(DutyMetering) {
-		f.reporter = duties.NewReporter(duties.ReporterDeps{Length: s.Duties.Window, Clock: f.clock.Now, Collector: f.collector, Names: f.organisations})
+		f.reporter = duties.NewReporter(duties.ReporterDeps{WindowLength: s.Duties.Window, Clock: f.clock.Now, Collector: f.collector, OrganisationNames: f.organisations})
 	}
 	if s.Duties.Has(DutyAutoscale) {
-		f.scaler = duties.NewScaler(duties.ScalerDeps{Services: f.services, Policy: autoscale.ExpectedLoss{Value: s.Duties.WorkValue}})
+		f.scaler = duties.NewScaler(duties.ScalerDeps{Services: f.services, Policy: autoscale.ExpectedLoss{WorkValue: s.Duties.WorkValue}})
 	}
 	address := func() string { return d.settings.Load().Duties.Address }
-	f.duties = duties.New(duties.Deps{Box: s.Box.ID, Holder: f.keeper, Cloud: a.Cloud(address), Reporter: f.reporter, Scaler: f.scaler, Logger: logger})
+	f.duties = duties.New(duties.Deps{Box: s.Box.ID, Lease: f.keeper, Cloud: a.Cloud(address), Reporter: f.reporter, Scaler: f.scaler, Logger: logger})
 	return f
 }
 
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
 	defer cancel()
 	if f.duties.AwaitIdle(ctx) {
-		f.keeper.HandOver(ctx)
+		f.keeper.Release(ctx)
 	}
 }
 
@@ -136,18 +136,18 @@
 // Begun implements gateway.Usage.
 func (f *fleetDuties) Begun(organisation string, at time.Time) {
 	if f.settings.Has(DutyMetering) {
-		f.counter.Begun(organisation, at)
+		f.counter.RequestStarted(organisation, at)
 	}
 }
 
 // state and taken hand on what lasts with the lease.
 func (f *fleetDuties) state() []byte { return f.duties.State() }
 
-func (f *fleetDuties) taken(state []byte) { f.duties.Take(state) }
+func (f *fleetDuties) taken(state []byte) { f.duties.Restore(state) }
 
 // told is the estimate of true time, which the holder tells the others.
 func (f *fleetDuties) told() []byte {
-	return binary.BigEndian.AppendUint64(nil, uint64(f.clock.Tell(clock.Now())))
+	return binary.BigEndian.AppendUint64(nil, uint64(f.clock.EstimateMillis(clock.Now())))
 }
 
 func (f *fleetDuties) onTold(told []byte, received time.Time) {
@@ -155,7 +155,7 @@
 		_ = level.Debug(f.logger).Log("msg", "time of the holder dropped", "bytes", len(told))
 		return
 	}
-	f.clock.Told(int64(binary.BigEndian.Uint64(told)), received)
+	f.clock.SetCollectorEstimate(int64(binary.BigEndian.Uint64(told)), received)
 }
 
 // onHolder has a new holder told what was counted, if it did not collect until now.
@@ -177,7 +177,7 @@
 }
 
 // organisations are all that the table has or had, by their keys.
-func (f *fleetDuties) organisations() map[metering.OrganisationKey]string {
+func (f *fleetDuties) organisations() map[metering.OrganisationHash]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.directory.View().Table
@@ -185,7 +185,7 @@
 		return f.names
 	}
 	for _, o := range t.Organisations() {
-		f.names[metering.KeyOf(o.Name)] = o.Name
+		f.names[metering.HashOrganisation(o.Name)] = o.Name
 	}
 	f.namesVersion = t.Version
 	return f.names
--- a/pkg/routerd/scaledservices.go
+++ b/pkg/routerd/scaledservices.go
@@ -30,7 +30,7 @@
 }
 
 func offerOf(s *routing.Scaling) autoscale.Offer {
-	return autoscale.Offer{Least: s.Least, Most: s.Most, Boot: s.Boot, SpotPrice: s.SpotPrice, Prices: s.Prices}
+	return autoscale.Offer{MinServers: s.Least, MaxServers: s.Most, Boot: s.Boot, SpotPrice: s.SpotPrice, Prices: s.Prices}
 }
 
 // scaledServers are a service's servers as the planner counts them, and how many of those that stay are
@@ -58,13 +58,13 @@
 	if servers == 0 || w.Slots == 0 {
 		return autoscale.Load{}
 	}
-	l := autoscale.Load{Busy: float64(w.Running) * float64(servers) / float64(w.Slots), Known: true}
+	l := autoscale.Load{BusyServers: float64(w.Running) * float64(servers) / float64(w.Slots), Known: true}
 	if s.Engine {
 		if w.Speed == 0 {
 			return autoscale.Load{}
 		}
-		l.Busy, l.Speed = max(l.Busy, w.Prefill/w.Speed), w.Speed
+		l.BusyServers, l.PrefillRate = max(l.BusyServers, w.Prefill/w.Speed), w.Speed
 	}
-	l.Busy += float64(limited)
+	l.BusyServers += float64(limited)
 	return l
 }
--- a/pkg/routerd/scaledservices_test.go
+++ b/pkg/routerd/scaledservices_test.go
@@ -12,7 +12,7 @@
 // Guards against limited servers that count as room: no others would be ordered in their place.
 func TestLimitedServersCountAsBusy(t *testing.T) {
 	w := balancer.Workload{Running: 4, Slots: 8, Prefill: 30, Speed: 10}
-	assert.InDelta(t, 2, loadOf(routing.Service{}, w, 4, 0).Busy, 1e-9)
-	assert.InDelta(t, 3, loadOf(routing.Service{}, w, 4, 1).Busy, 1e-9)
-	assert.InDelta(t, 4, loadOf(routing.Service{Engine: true}, w, 4, 1).Busy, 1e-9)
+	assert.InDelta(t, 2, loadOf(routing.Service{}, w, 4, 0).BusyServers, 1e-9)
+	assert.InDelta(t, 3, loadOf(routing.Service{}, w, 4, 1).BusyServers, 1e-9)
+	assert.InDelta(t, 4, loadOf(routing.Service{Engine: true}, w, 4, 1).BusyServers, 1e-9)
 }
