--- a/pkg/gateway/answer.go
+++ b/pkg/gateway/answer.go
@@ -53,7 +53,7 @@
 		resp.Close(false)
 		return &failure{result: balancer.ResultFailed, broken: true, cause: err}, nil
 	}
-	lease.Begun(clock.Now())
+	lease.PrefillDone(clock.Now())
 	if !complete {
 		return x.passLong(resp, body)
 	}
@@ -132,7 +132,7 @@
 // copyHeader copies the headers that are not of one connection. Headers that
 // net/http would add by itself are held back.
 func copyHeader(to, from http.Header) {
-	maps.Copy(to, upstream.EndToEnd(from))
+	maps.Copy(to, upstream.EndToEndHeader(from))
 	for _, added := range []string{"Content-Type", "Date"} {
 		if _, ok := from[added]; !ok {
 			to[added] = nil
