--- a/pkg/balancer/admission.go
+++ b/pkg/balancer/admission.go
@@ -7,7 +7,7 @@
 )
 
 // PendingPrefill is the number of tokens waiting to be prefilled, by request rank.
-type PendingPrefill [routing.RankMost + 1]int
+type PendingPrefill [routing.MaxRank + 1]int
 
 // add adds tokens of a rank; a negative number removes them.
 func (p *PendingPrefill) add(rank, tokens int) { p[rank] = max(0, p[rank]+tokens) }
@@ -62,7 +62,7 @@
 type rankArrivals struct {
 	// first is the time of the first arrival of any rank, latest the last one of each rank.
 	first  time.Time
-	latest [routing.RankMost + 1]time.Time
+	latest [routing.MaxRank + 1]time.Time
 }
 
 func (a *rankArrivals) record(rank int, now time.Time) {
@@ -104,7 +104,7 @@
 	if speed == 0 {
 		return estimate, false
 	}
-	ahead, total := demand.PendingPrefill.aheadOf(rank), demand.PendingPrefill.aheadOf(routing.RankMost)
+	ahead, total := demand.PendingPrefill.aheadOf(rank), demand.PendingPrefill.aheadOf(routing.MaxRank)
 	estimate.Wait = time.Duration(float64(ahead) / speed * float64(time.Second))
 	estimate.Overtakes = total-ahead > ahead
 	return estimate, true
@@ -139,7 +139,7 @@
 	defer b.mu.Unlock()
 	for i := range servers {
 		s := &servers[i]
-		key := KeyOf(s.Life())
+		key := KeyOf(s.Incarnation())
 		l := b.peerLoad(key, now)
 		if own, ok := b.servers[key]; ok {
 			l = l.Plus(own.load())
--- a/pkg/balancer/admission_test.go
+++ b/pkg/balancer/admission_test.go
@@ -211,7 +211,7 @@
 	peers.PendingPrefill.add(2, 3000)
 	peers.PendingPrefill.add(4, 5000)
 	b.SetPeerLoads(nil, map[ServiceKey]Demand{ServiceKeyOf("models"): peers}, now)
-	for rank, want := range map[int]time.Duration{0: 0, 1: 0, 2: 1500 * time.Millisecond, 3: 1500 * time.Millisecond, 4: 4 * time.Second, routing.RankMost: 4 * time.Second} {
+	for rank, want := range map[int]time.Duration{0: 0, 1: 0, 2: 1500 * time.Millisecond, 3: 1500 * time.Millisecond, 4: 4 * time.Second, routing.MaxRank: 4 * time.Second} {
 		estimate, known := b.EstimateQueue("models", rank, 2, now)
 		require.True(t, known, "a service without requests at this box")
 		assert.Equal(t, want, estimate.Wait, "rank %d", rank)
@@ -224,7 +224,7 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	list := serversWithSlots(2, 20)
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Life()): {Running: 14}, KeyOf(list[1].Life()): {Running: 11, Backlog: 90_000}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Incarnation()): {Running: 14}, KeyOf(list[1].Incarnation()): {Running: 11, Backlog: 90_000}}, nil, now)
 
 	assert.True(t, b.HasFreeSlot(list, 0.6, now))
 	l, _ := b.Pick(Query{Candidates: list, Engine: true, Service: "models", MaxOccupancy: 0.6, PromptTokens: 300}, now)
--- a/pkg/balancer/availability.go
+++ b/pkg/balancer/availability.go
@@ -29,14 +29,14 @@
 
 // Availability counts the candidates of a query by what prevents requests to them.
 func (b *Balancer) Availability(q Query, now time.Time) Availability {
-	if !b.signals.Any() && !q.WarmUp.Limited() {
+	if !b.signals.HasSignals() && !q.WarmUp.Limited() {
 		return Availability{Available: len(q.Candidates)}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var a Availability
 	for i := range q.Candidates {
-		if c := &q.Candidates[i]; !slices.Contains(q.Exclude, c.Life()) {
+		if c := &q.Candidates[i]; !slices.Contains(q.Exclude, c.Incarnation()) {
 			b.addCandidate(&a, &q, c, now)
 		}
 	}
@@ -45,20 +45,20 @@
 
 // addCandidate adds one candidate to the counts.
 func (b *Balancer) addCandidate(a *Availability, q *Query, c *routing.Server, now time.Time) {
-	s := b.lookup(KeyOf(c.Life()))
-	state := b.signals.Of(s.key, now)
+	s := b.lookup(KeyOf(c.Incarnation()))
+	state := b.signals.State(s.key, now)
 	limit := b.rateLimit(q, c, s, state, b.peerLoad(s.key, now), now)
 	switch {
 	case state.Leaving:
 	case state.Backoff != signals.Accepting:
 		a.BackingOff++
 		a.BackoffEnd = earlier(a.BackoffEnd, state.BackoffEnd)
-	case state.Limit.Set && !limit.None():
-		perSecond, next := b.limiter.Outlook(c.Life(), limit, now)
+	case state.Limit.Set && !limit.IsZero():
+		perSecond, next := b.limiter.NextAllowed(c.Incarnation(), limit, now)
 		a.Limited++
 		a.PerSecond += perSecond
 		a.NextToken = earlier(a.NextToken, next)
-	case !limit.None():
+	case !limit.IsZero():
 		a.WarmingUp++
 	default:
 		a.Available++
@@ -76,7 +76,7 @@
 // Unconstrained returns the servers without a constraining signal; if there are none, those that
 // are not leaving.
 func (b *Balancer) Unconstrained(servers []routing.Server, now time.Time) []routing.Server {
-	if !b.signals.Any() {
+	if !b.signals.HasSignals() {
 		return servers
 	}
 	leaving := func(s routing.Server) bool { return b.SignalsOf(&s, now).Leaving }
@@ -92,5 +92,5 @@
 
 // SignalsOf returns the state signalled by a server's responses.
 func (b *Balancer) SignalsOf(s *routing.Server, now time.Time) signals.State {
-	return b.signals.Of(KeyOf(s.Life()), now)
+	return b.signals.State(KeyOf(s.Incarnation()), now)
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -49,11 +49,11 @@
 // Limiter enforces this box's share of the fleet-wide rate limits of servers.
 type Limiter interface {
 	// Allows reports whether a request may be sent now; Take counts one that is sent.
-	Allows(server routing.Life, l fleetlimit.Limit, now time.Time) bool
-	Take(server routing.Life, l fleetlimit.Limit, now time.Time)
-	// Outlook returns this box's share of the rate and the time at which the next request may be
-	// sent.
-	Outlook(server routing.Life, l fleetlimit.Limit, now time.Time) (perSecond float64, next time.Time)
+	Allows(server routing.Incarnation, l fleetlimit.Limit, now time.Time) bool
+	Take(server routing.Incarnation, l fleetlimit.Limit, now time.Time)
+	// NextAllowed returns this box's share of the rate and the time at which the next request may
+	// be sent.
+	NextAllowed(server routing.Incarnation, l fleetlimit.Limit, now time.Time) (perSecond float64, next time.Time)
 }
 
 // SetLimiter sets the limiter for rate-limited servers. It must be called before the first Pick.
@@ -111,7 +111,7 @@
 	l.state.running++
 	l.state.probeInFlight = l.state.probeInFlight || l.probe
 	if chosen.limited {
-		b.limiter.Take(chosen.Life(), b.currentRateLimit(&q, chosen.Server, now), now)
+		b.limiter.Take(chosen.Incarnation(), b.currentRateLimit(&q, chosen.Server, now), now)
 	}
 	if q.Engine {
 		l.reserve(q, &chosen, &costs, now)
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -108,7 +108,7 @@
 
 func TestExcludedServersAreNotPicked(t *testing.T) {
 	b := New(log.NewNopLogger())
-	_, ok := b.Pick(Query{Candidates: servers(2), Exclude: []routing.Life{{ID: "i-0"}, {ID: "i-1"}}}, time.Now())
+	_, ok := b.Pick(Query{Candidates: servers(2), Exclude: []routing.Incarnation{{ID: "i-0"}, {ID: "i-1"}}}, time.Now())
 	assert.False(t, ok)
 }
 
@@ -227,13 +227,13 @@
 	}
 	long.PrefillDone(now)
 	exchangeReports(one, two, now)
-	assert.Equal(t, Load{Running: 1, MemoryTokens: 28000}, two.peerLoad(KeyOf(long.Server.Life()), now), "the end of the prefill is reported")
+	assert.Equal(t, Load{Running: 1, MemoryTokens: 28000}, two.peerLoad(KeyOf(long.Server.Incarnation()), now), "the end of the prefill is reported")
 	long.Done(ResultDone, now)
 	exchangeReports(one, two, now)
-	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Life()), now), "the end of the call is reported")
-	two.SetPeerLoads(map[ServerKey]Load{KeyOf(long.Server.Life()): {Backlog: 9000}}, nil, now)
-	assert.Equal(t, 9000, two.peerLoad(KeyOf(long.Server.Life()), now).Backlog)
-	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Life()), now.Add(peerLoadTTL+time.Millisecond)), "peer loads expire")
+	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Incarnation()), now), "the end of the call is reported")
+	two.SetPeerLoads(map[ServerKey]Load{KeyOf(long.Server.Incarnation()): {Backlog: 9000}}, nil, now)
+	assert.Equal(t, 9000, two.peerLoad(KeyOf(long.Server.Incarnation()), now).Backlog)
+	assert.Zero(t, two.peerLoad(KeyOf(long.Server.Incarnation()), now.Add(peerLoadTTL+time.Millisecond)), "peer loads expire")
 }
 
 // A box uses the server to which another box has sent a prefix, and transfers the prefix from it
@@ -243,7 +243,7 @@
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	q := query(9, "part")
 	home, _ := one.Pick(q, now)
-	one.SetPeerLoads(map[ServerKey]Load{KeyOf(home.Server.Life()): {Backlog: 500000}}, nil, now)
+	one.SetPeerLoads(map[ServerKey]Load{KeyOf(home.Server.Incarnation()): {Backlog: 500000}}, nil, now)
 	away, _ := one.Pick(q, now)
 	require.NotEqual(t, home.Server.ID, away.Server.ID)
 	assert.Empty(t, away.Source, "the home has not prefilled it yet")
@@ -254,7 +254,7 @@
 	l, _ := two.Pick(q, now)
 	assert.Equal(t, away.Server.ID, l.Server.ID, "not the home, where the prefix is not cached")
 	now = now.Add(assignedTTL + time.Millisecond)
-	two.SetPeerLoads(map[ServerKey]Load{KeyOf(away.Server.Life()): {Backlog: 500000}}, nil, now)
+	two.SetPeerLoads(map[ServerKey]Load{KeyOf(away.Server.Incarnation()): {Backlog: 500000}}, nil, now)
 	l, _ = two.Pick(q, now)
 	assert.NotEqual(t, away.Server.ID, l.Server.ID)
 	assert.Equal(t, away.Server.Address, l.Source)
@@ -274,7 +274,7 @@
 			first = append(first, home.Server.ID)
 			// By then the assignment to the first home has expired.
 			later := now.Add(assignedTTL + time.Millisecond)
-			b.server(KeyOf(home.Server.Life()), later).health.ejectedUntil = later.Add(time.Second)
+			b.server(KeyOf(home.Server.Incarnation()), later).health.ejectedUntil = later.Add(time.Second)
 			l, _ := b.Pick(q, later)
 			next = append(next, l.Server.ID)
 		}
@@ -294,9 +294,9 @@
 		l.Done(ResultAbandoned, now)
 		return l.Server.ID
 	}
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: minDownReports - 1}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Incarnation{ID: "i-0"}): {DownReports: minDownReports - 1}}, nil, now)
 	assert.Eventually(t, func() bool { return pick() == "i-0" }, 10*time.Second, time.Microsecond, "a single box may itself be cut off")
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {DownReports: minDownReports}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Incarnation{ID: "i-0"}): {DownReports: minDownReports}}, nil, now)
 	for range 20 {
 		assert.Equal(t, "i-1", pick())
 	}
@@ -313,9 +313,9 @@
 	home, _ := b.Pick(q, now)
 	loads := make(map[ServerKey]Load)
 	for _, s := range servers(3) {
-		loads[KeyOf(s.Life())] = Load{Backlog: 30000}
+		loads[KeyOf(s.Incarnation())] = Load{Backlog: 30000}
 	}
-	loads[KeyOf(home.Server.Life())] = Load{Backlog: 60000}
+	loads[KeyOf(home.Server.Incarnation())] = Load{Backlog: 60000}
 	b.SetPeerLoads(loads, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, home.Server.ID, l.Server.ID)
@@ -353,7 +353,7 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{Candidates: serversWithSlots(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 300, Parts: []Part{{ID: "own", Tokens: 300}}}
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Life{ID: "i-0"}): {Running: 12}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(routing.Incarnation{ID: "i-0"}): {Running: 12}}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
 }
@@ -371,7 +371,7 @@
 	chosen := make(map[string]int)
 	for i := range 60 {
 		b := New(log.NewNopLogger())
-		b.RecordPlacements([]Placement{{Server: KeyOf(routing.Life{ID: "i-3"}), Parts: prefixOf([]Part{{ID: "all"}}).keys, Prefilled: true}}, now)
+		b.RecordPlacements([]Placement{{Server: KeyOf(routing.Incarnation{ID: "i-3"}), Parts: prefixOf([]Part{{ID: "all"}}).keys, Prefilled: true}}, now)
 		l, _ := b.Pick(Query{
 			Candidates: servers(20), Hall: "hall-9", Engine: true, PromptTokens: 9000,
 			Parts: []Part{{ID: "all", Tokens: 2500}, {ID: fmt.Sprint(i), Tokens: 3800}, {ID: "own", Tokens: 2700}},
@@ -391,7 +391,7 @@
 	b := New(log.NewNopLogger())
 	q := Query{Candidates: serversWithSlots(2, 12), Hall: "hall-0", Engine: true, PromptTokens: 20000, MaxOutputTokens: 500, EngineMemoryTokens: 100000, Parts: []Part{{ID: "own", Tokens: 20000}}}
 	b.SetPeerLoads(map[ServerKey]Load{
-		KeyOf(routing.Life{ID: "i-0"}): {Running: 4, MemoryTokens: 75000}, KeyOf(routing.Life{ID: "i-1"}): {Running: 6, MemoryTokens: 40000},
+		KeyOf(routing.Incarnation{ID: "i-0"}): {Running: 4, MemoryTokens: 75000}, KeyOf(routing.Incarnation{ID: "i-1"}): {Running: 6, MemoryTokens: 40000},
 	}, nil, now)
 	l, _ := b.Pick(q, now)
 	assert.Equal(t, "i-1", l.Server.ID)
@@ -405,7 +405,7 @@
 	now := time.Now()
 	loads := make(map[ServerKey]Load)
 	for i, s := range servers(10) {
-		loads[KeyOf(s.Life())] = Load{Backlog: 300 * i}
+		loads[KeyOf(s.Incarnation())] = Load{Backlog: 300 * i}
 	}
 	chosen := make(map[string]int)
 	for range 100 {
@@ -424,7 +424,7 @@
 }
 
 // A server restarted under the same ID inherits no prefixes, load or failures, nor what other
-// boxes still report about its previous life.
+// boxes still report about its previous incarnation.
 func TestRestartedServerInheritsNoState(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
@@ -440,9 +440,9 @@
 		l, _ := b.Pick(q, now)
 		l.Done(ResultFailed, now)
 	}
-	old := b.server(KeyOf(before[0].Life()), now)
+	old := b.server(KeyOf(before[0].Incarnation()), now)
 	require.True(t, now.Before(old.health.ejectedUntil))
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(before[0].Life()): {Running: 9, Backlog: 50_000, DownReports: minDownReports}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(before[0].Incarnation()): {Running: 9, Backlog: 50_000, DownReports: minDownReports}}, nil, now)
 
 	after := servers(1)
 	after[0].Started = 900 // The server's clock was set back.
@@ -456,8 +456,8 @@
 	assert.Equal(t, q.PromptTokens, l.Inputs.PrefillTokens)
 
 	pending.Done(ResultFailed, now)
-	assert.Equal(t, 1, b.server(KeyOf(after[0].Life()), now).running, "requests of the previous life are not counted")
-	assert.Zero(t, b.server(KeyOf(after[0].Life()), now).health.failures)
+	assert.Equal(t, 1, b.server(KeyOf(after[0].Incarnation()), now).running, "requests of the previous incarnation are not counted")
+	assert.Zero(t, b.server(KeyOf(after[0].Incarnation()), now).health.failures)
 }
 
 // Prefixes cached by a server before its restart can't be transferred from it afterwards.
@@ -474,7 +474,7 @@
 
 	list[0].Started = 2000
 	q.Candidates = list
-	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Life()): {Backlog: 500_000}}, nil, now)
+	b.SetPeerLoads(map[ServerKey]Load{KeyOf(list[0].Incarnation()): {Backlog: 500_000}}, nil, now)
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
 	require.Equal(t, list[1].ID, l.Server.ID)
--- a/pkg/balancer/choose.go
+++ b/pkg/balancer/choose.go
@@ -110,18 +110,18 @@
 	var ejected []choice
 	for i, position := range list.positions {
 		c := &q.Candidates[position]
-		if slices.Contains(q.Exclude, c.Life()) {
+		if slices.Contains(q.Exclude, c.Incarnation()) {
 			continue
 		}
-		s := b.server(KeyOf(c.Life()), now)
-		state := b.signals.Of(s.key, now)
+		s := b.server(KeyOf(c.Incarnation()), now)
+		state := b.signals.State(s.key, now)
 		if state.Leaving {
 			q.Draining = append(slices.Clip(q.Draining), *c)
 			continue
 		}
 		peers := b.peerLoad(s.key, now)
 		limit := b.rateLimit(q, c, s, state, peers, now)
-		if !limit.None() && (q.SkipLimited || !b.limiter.Allows(c.Life(), limit, now)) {
+		if !limit.IsZero() && (q.SkipLimited || !b.limiter.Allows(c.Incarnation(), limit, now)) {
 			continue
 		}
 		if state.Backoff == signals.BackingOff || state.Backoff == signals.HalfOpen && s.probeInFlight {
@@ -129,7 +129,7 @@
 		}
 		candidate := choice{
 			Server: c, state: s, failureRatio: s.health.failureRatio(peers, now), load: s.load().Plus(peers), mayBeHome: i < list.homes,
-			limited: !limit.None(), probe: state.Backoff == signals.HalfOpen,
+			limited: !limit.IsZero(), probe: state.Backoff == signals.HalfOpen,
 		}
 		candidate.cachedTokens, candidate.prefilledTokens = s.cached.longestPrefix(shared, now)
 		if now.Before(s.health.ejectedUntil) || candidate.ejectedByPeers(peers, now) {
--- a/pkg/balancer/cost.go
+++ b/pkg/balancer/cost.go
@@ -95,7 +95,7 @@
 		return best
 	}
 	for i := range q.Draining {
-		s, known := b.servers[KeyOf(q.Draining[i].Life())]
+		s, known := b.servers[KeyOf(q.Draining[i].Incarnation())]
 		if !known {
 			continue
 		}
--- a/pkg/balancer/lanes_test.go
+++ b/pkg/balancer/lanes_test.go
@@ -82,7 +82,7 @@
 			if reverse {
 				i = len(list) - 1 - i
 			}
-			choices = append(choices, choice{Server: &list[i], state: b.server(KeyOf(list[i].Life()), now)})
+			choices = append(choices, choice{Server: &list[i], state: b.server(KeyOf(list[i].Incarnation()), now)})
 		}
 		stats := serviceStats{classes: make(profiles), peers: Demand{Interactive: 1, Bulk: 9}}
 		l := stats.laneOf(Query{Class: "any", PromptTokens: 1000}, keysOf(nil, choices), now)
--- a/pkg/balancer/limits.go
+++ b/pkg/balancer/limits.go
@@ -20,18 +20,18 @@
 		return limit
 	}
 	if b.warmingUp(q, c, s, peers, now) {
-		limit = fleetlimit.WarmUp(q.WarmUp)
+		limit = fleetlimit.WarmUpLimit(q.WarmUp)
 	}
 	if state.Limit.Set {
-		limit = limit.Stricter(fleetlimit.Signalled(state.Limit.Rate()))
+		limit = limit.Stricter(fleetlimit.SignalledLimit(state.Limit.EffectiveRate()))
 	}
 	return limit
 }
 
 // currentRateLimit returns the rate limit of a server from its current state.
 func (b *Balancer) currentRateLimit(q *Query, c *routing.Server, now time.Time) fleetlimit.Limit {
-	s := b.lookup(KeyOf(c.Life()))
-	return b.rateLimit(q, c, s, b.signals.Of(s.key, now), b.peerLoad(s.key, now), now)
+	s := b.lookup(KeyOf(c.Incarnation()))
+	return b.rateLimit(q, c, s, b.signals.State(s.key, now), b.peerLoad(s.key, now), now)
 }
 
 // lookup returns the state of a server without adding a new one.
@@ -51,7 +51,7 @@
 	if confirmedDown(s, peers, now) {
 		s.lastSeenDown = now
 	}
-	if q.ListStale && !s.lastSeenDown.IsZero() && now.Sub(s.lastSeenDown) < q.WarmUp.Time+warmUpMargin {
+	if q.ListStale && !s.lastSeenDown.IsZero() && now.Sub(s.lastSeenDown) < q.WarmUp.Duration+warmUpMargin {
 		return true
 	}
 	return q.WarmUpEnd != nil && now.Before(q.WarmUpEnd(c))
--- a/pkg/balancer/limits_test.go
+++ b/pkg/balancer/limits_test.go
@@ -22,7 +22,7 @@
 	l.SetBoxes([]string{"box-1"}, now.Add(-time.Hour))
 	b.SetLimiter(l)
 	q := Query{Service: "calls", Candidates: []routing.Server{{ID: "i-1"}, {ID: "i-2"}}}
-	b.Signals().Observe(q.Candidates[0].Life(), signals.Signals{Limit: signals.Limit{Set: true, PerSecond: 1}}, now, now)
+	b.Signals().Observe(q.Candidates[0].Incarnation(), signals.Signals{Limit: signals.Limit{Set: true, PerSecond: 1}}, now, now)
 	// The limit applies from the first choice on; the time since then accumulates capacity for one
 	// request.
 	b.Pick(q, now.Add(-5*time.Second))
@@ -46,7 +46,7 @@
 	assert.Equal(t, map[string]int{"i-1": 1, "i-2": 99}, pickCounts(b, q, 100, now))
 	a := b.Availability(q, now)
 	assert.WithinDuration(t, now.Add(time.Duration(float64(time.Second)/a.PerSecond)), a.NextToken, time.Millisecond)
-	assert.Equal(t, Availability{Limited: 1, PerSecond: fleetlimit.Signalled(1).PerSecond, NextToken: a.NextToken, Available: 1}, a)
+	assert.Equal(t, Availability{Limited: 1, PerSecond: fleetlimit.SignalledLimit(1).PerSecond, NextToken: a.NextToken, Available: 1}, a)
 	assert.Equal(t, q.Candidates[1:], b.Unconstrained(q.Candidates, now))
 }
 
@@ -74,12 +74,12 @@
 	require.True(t, ok)
 	first.PrefillDone(now)
 	first.Done(ResultDone, now)
-	b.Signals().Observe(first.Server.Life(), signals.Signals{Leaving: true}, now, now)
+	b.Signals().Observe(first.Server.Incarnation(), signals.Signals{Leaving: true}, now, now)
 	second, ok := b.Pick(q, now)
 	require.True(t, ok)
 	assert.NotEqual(t, first.Server.ID, second.Server.ID)
 	assert.Equal(t, first.Server.Address, second.Source)
-	q.Exclude = []routing.Life{second.Server.Life()}
+	q.Exclude = []routing.Incarnation{second.Server.Incarnation()}
 	_, ok = b.Pick(q, now)
 	assert.False(t, ok, "no candidate remains")
 	assert.Len(t, b.Unconstrained(q.Candidates, now), 1)
@@ -89,8 +89,8 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := Query{Service: "calls", Candidates: []routing.Server{{ID: "i-1"}}}
-	life := q.Candidates[0].Life()
-	b.Signals().Observe(life, signals.Signals{RetryAfter: time.Second}, now, now)
+	incarnation := q.Candidates[0].Incarnation()
+	b.Signals().Observe(incarnation, signals.Signals{RetryAfter: time.Second}, now, now)
 	_, ok := b.Pick(q, now.Add(time.Second/2))
 	assert.False(t, ok, "not even without alternatives")
 	assert.Equal(t, 1, b.Availability(q, now).BackingOff)
@@ -104,7 +104,7 @@
 	now = now.Add(maxEjection)
 	probe, ok = b.Pick(q, now)
 	require.True(t, ok, "a new probe follows a failed one")
-	b.Signals().Observe(life, signals.Signals{}, now, now)
+	b.Signals().Observe(incarnation, signals.Signals{}, now, now)
 	_, ok = b.Pick(q, now)
 	assert.True(t, ok)
 	probe.Done(ResultDone, now)
@@ -122,7 +122,7 @@
 		q.Candidates = append(q.Candidates, routing.Server{ID: fmt.Sprintf("i-%d", i)})
 	}
 	for i := range maxFullScan {
-		b.Signals().Observe(q.Candidates[i].Life(), signals.Signals{Leaving: i%2 == 0, RetryAfter: time.Minute}, now, now)
+		b.Signals().Observe(q.Candidates[i].Incarnation(), signals.Signals{Leaving: i%2 == 0, RetryAfter: time.Minute}, now, now)
 	}
 	a := b.Availability(q, now)
 	assert.Equal(t, maxFullScan, a.Available)
--- a/pkg/balancer/peer_reports_test.go
+++ b/pkg/balancer/peer_reports_test.go
@@ -77,7 +77,7 @@
 			b.SetPeerLoads(sumReports([]*Balancer{failing}, now), nil, now)
 			l, _ := b.Pick(Query{Candidates: servers(1)}, now)
 			l.Done(ResultAbandoned, now)
-			assert.False(t, (&choice{state: l.state, failureRatio: l.Inputs.FailureRatio}).ejectedByPeers(b.peerLoads[KeyOf(routing.Life{ID: "i-0"})], now))
+			assert.False(t, (&choice{state: l.state, failureRatio: l.Inputs.FailureRatio}).ejectedByPeers(b.peerLoads[KeyOf(routing.Incarnation{ID: "i-0"})], now))
 			if r == ResultUnreached {
 				assert.Zero(t, l.Inputs.FailureRatio)
 			}
--- a/pkg/balancer/query.go
+++ b/pkg/balancer/query.go
@@ -37,8 +37,8 @@
 	PromptTokens int
 	BodyBytes    int
 	// Exclude lists servers that have been tried before.
-	Exclude []routing.Life
-	// Rank is the urgency, from 0 (most urgent) to routing.RankMost.
+	Exclude []routing.Incarnation
+	// Rank is the urgency, from 0 (most urgent) to routing.MaxRank.
 	Rank int
 	// MaxOccupancy is the ratio of occupied slots below which an engine is preferred for the
 	// request; zero for no limit. It is ignored if no engine is below it.
--- a/pkg/balancer/report.go
+++ b/pkg/balancer/report.go
@@ -38,13 +38,13 @@
 	peerEjectRatio    = 0.5
 )
 
-// ServerKey is a hash of a server's life, used in messages between boxes. If two servers collide,
-// each is also charged with the load of the other.
+// ServerKey is a hash of a server's incarnation, used in messages between boxes. If two servers
+// collide, each is also charged with the load of the other.
 type ServerKey = signals.Key
 
-// KeyOf returns the key of a server's life. All state of a server is stored under it, so that a
-// server restarted under the same ID starts with nothing cached, no load and no failures.
-func KeyOf(l routing.Life) ServerKey { return signals.KeyOf(l) }
+// KeyOf returns the key of a server's incarnation. All state of a server is stored under it, so
+// that a server restarted under the same ID starts with nothing cached, no load and no failures.
+func KeyOf(i routing.Incarnation) ServerKey { return signals.KeyOf(i) }
 
 // partKey is a hash of the ID of a prompt part.
 type partKey = uint64
--- a/pkg/balancer/shortlist.go
+++ b/pkg/balancer/shortlist.go
@@ -38,7 +38,7 @@
 	x := &candidateIndex{servers: servers, keys: make([]ServerKey, len(servers)), positions: make([]int, len(servers))}
 	keyByPosition := make([]ServerKey, len(servers))
 	for i := range servers {
-		keyByPosition[i] = KeyOf(servers[i].Life())
+		keyByPosition[i] = KeyOf(servers[i].Incarnation())
 		x.positions[i] = i
 	}
 	slices.SortFunc(x.positions, func(a, b int) int { return int(keyByPosition[a]) - int(keyByPosition[b]) })
--- a/pkg/balancer/shortlist_test.go
+++ b/pkg/balancer/shortlist_test.go
@@ -40,7 +40,7 @@
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	q := query(longList, "shared")
-	holder := KeyOf(q.Candidates[longList/2].Life())
+	holder := KeyOf(q.Candidates[longList/2].Incarnation())
 	b.RecordPlacements([]Placement{{Server: holder, Parts: prefixOf(q.sharedParts()).keys, Prefilled: true}}, now)
 	l, ok := b.Pick(q, now)
 	require.True(t, ok)
@@ -82,8 +82,8 @@
 	for range 5 {
 		l, ok := b.Pick(q, now)
 		require.True(t, ok)
-		assert.NotContains(t, q.Exclude, l.Server.Life())
-		q.Exclude = append(q.Exclude, l.Server.Life())
+		assert.NotContains(t, q.Exclude, l.Server.Incarnation())
+		q.Exclude = append(q.Exclude, l.Server.Incarnation())
 		l.Done(ResultUnreached, now)
 	}
 }
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -71,7 +71,7 @@
 	if resp.Status >= 502 && !x.req.once {
 		return scheduler.Completion{}, &backend.BrokenError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
 	}
-	c := scheduler.Completion{OutputTokens: 1, FirstToken: time.Since(started)}
+	c := scheduler.Completion{OutputTokens: 1, TimeToFirstToken: time.Since(started)}
 	if err := x.pass(s, resp); err != nil {
 		return c, err
 	}
@@ -142,7 +142,7 @@
 // forwarded copies the headers that go through: not headhill's own, which neither
 // side may forge, nor the caller's key, which is for headhill only.
 func forwarded(h http.Header) http.Header {
-	out := upstream.EndToEnd(h)
+	out := upstream.EndToEndHeader(h)
 	out.Del("Authorization")
 	maps.DeleteFunc(out, func(name string, _ []string) bool { return strings.HasPrefix(name, ownHeaders) })
 	return out
