--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -461,7 +461,7 @@
 }
 
 // Prefixes cached by a server before its restart can't be transferred from it afterwards.
-func TestNoTransferFromPreviousLife(t *testing.T) {
+func TestNoTransferFromPreviousIncarnation(t *testing.T) {
 	now := time.Now()
 	b := New(log.NewNopLogger())
 	list := servers(2)
