--- a/pkg/announce/announce.go
+++ b/pkg/announce/announce.go
@@ -65,7 +65,7 @@
 // New returns a checker.
 func New(d Deps) *Checker {
 	c := &Checker{Deps: d, heard: make(chan message, 64), unknown: make(chan struct{}, 1)}
-	d.Directory.OnNotice(c.tellNotice)
+	d.Directory.OnNotification(c.tellNotice)
 	d.Port.Handle(kind, c.receive)
 	d.Port.OnStranger(c.LookWhoIsThere)
 	return c
@@ -158,31 +158,31 @@
 // own. A box that reads less of the store than this one only says that something has changed, and
 // has not looked for all that this one acts on.
 func (c *Checker) take(m message) bool {
-	whole := forms.Whole(m.Level)
+	whole := forms.Complete(m.Level)
 	if !whole {
 		m = m.brief()
 	}
-	c.Directory.Noticed(m.notice())
+	c.Directory.ApplyNotification(m.notice())
 	if m.Check == nil {
 		return false
 	}
 	age := time.Duration(m.Check.AgeMillis) * time.Millisecond
-	c.Directory.Heard(directory.Check{
-		Asked: m.received.Add(-age - flight), Revision: m.Check.Revision,
+	c.Directory.ApplyCheck(directory.Check{
+		AskedAt: m.received.Add(-age - flight), Revision: m.Check.Revision,
 		TableChanged: m.Check.TableChanged, ServersChanged: m.Check.ServersChanged,
 	})
 	return whole
 }
 
 // notice is what a message tells of changes.
-func (m message) notice() directory.Notice {
-	n := directory.Notice{TableChanged: m.TableChanged, Table: m.Table, ServersChanged: m.ServersChanged}
+func (m message) notice() directory.Notification {
+	n := directory.Notification{TableChanged: m.TableChanged, TableDelta: m.Table, ServersChanged: m.ServersChanged}
 	if m.Delta != nil {
-		n.Delta = &directory.Delta{From: m.Delta.From, To: m.Delta.To, Events: m.Delta.Events}
+		n.ServersDelta = &directory.Delta{From: m.Delta.From, To: m.Delta.To, Events: m.Delta.Events}
 	}
 	if m.Evacuations != nil {
 		age := time.Duration(m.Evacuations.AgeMillis) * time.Millisecond
-		n.Evacuations, n.EvacuationsAsked = &m.Evacuations.Evacuations, m.received.Add(-age-flight)
+		n.Evacuations, n.EvacuationsAskedAt = &m.Evacuations.Evacuations, m.received.Add(-age-flight)
 	}
 	return n
 }
@@ -219,7 +219,7 @@
 
 func (c *Checker) tellCheck(check directory.Check) {
 	c.tell(message{Check: &checkMessage{
-		AgeMillis: clock.Since(check.Asked).Milliseconds(), Revision: check.Revision,
+		AgeMillis: clock.Since(check.AskedAt).Milliseconds(), Revision: check.Revision,
 		TableChanged: check.TableChanged, ServersChanged: check.ServersChanged,
 	}, Evacuations: c.evacuations()})
 }
@@ -230,17 +230,17 @@
 	if e.Revision == 0 {
 		return nil
 	}
-	age := clock.Since(c.Directory.EvacuationsRead())
+	age := clock.Since(c.Directory.EvacuationsConfirmedAt())
 	return &evacuationsMessage{Evacuations: e, AgeMillis: age.Milliseconds()}
 }
 
-func (c *Checker) tellNotice(n directory.Notice) {
-	m := message{TableChanged: n.TableChanged, Table: n.Table}
+func (c *Checker) tellNotice(n directory.Notification) {
+	m := message{TableChanged: n.TableChanged, Table: n.TableDelta}
 	if n.Evacuations != nil {
 		m.Evacuations = c.evacuations()
 	}
-	if n.Delta != nil {
-		m.Delta = &deltaMessage{From: n.Delta.From, To: n.Delta.To, Events: n.Delta.Events}
+	if n.ServersDelta != nil {
+		m.Delta = &deltaMessage{From: n.ServersDelta.From, To: n.ServersDelta.To, Events: n.ServersDelta.Events}
 	}
 	c.tell(m)
 }
--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -79,7 +79,7 @@
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				g.checks[i]++
-				return directory.Check{Asked: time.Now(), Revision: 1}, true
+				return directory.Check{AskedAt: time.Now(), Revision: 1}, true
 			},
 		})
 		wg.Go(c.Port.Listen)
@@ -213,7 +213,7 @@
 	for i := range 500 {
 		delta.Events = append(delta.Events, directory.ServerEvent{Server: routing.Server{ID: fmt.Sprintf("i-%08d", i), Service: "calls"}})
 	}
-	c.tellNotice(directory.Notice{Delta: delta})
+	c.tellNotice(directory.Notification{ServersDelta: delta})
 	told := make(chan message, 1)
 	p := port(other, c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	p.Handle(kind, func(d datagram.Message) {
@@ -261,20 +261,20 @@
 		m, err := parse(datagram.Message{Body: body})
 		require.NoError(t, err, name)
 		c := checker(t)
-		assert.Equal(t, m.Check != nil && forms.Whole(m.Level), c.take(m), name)
+		assert.Equal(t, m.Check != nil && forms.Complete(m.Level), c.take(m), name)
 	}
 }
 
 // emptySource is a store without servers.
 type emptySource struct{ revision uint64 }
 
-func (s emptySource) ReadTable(context.Context) (directory.TableRead, error) {
-	return directory.TableRead{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision, Changed: s.revision}, nil
+func (s emptySource) ReadTable(context.Context) (directory.TableResult, error) {
+	return directory.TableResult{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision, Changed: s.revision}, nil
 }
 
-func (emptySource) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableRead, error) {
+func (emptySource) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableResult, error) {
 	<-ctx.Done()
-	return directory.TableRead{}, ctx.Err()
+	return directory.TableResult{}, ctx.Err()
 }
 
 func (s emptySource) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
@@ -296,10 +296,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		d.Follow(ctx, directory.Following{Source: emptySource{revision}, Reader: func() bool { return true }, Timing: directory.Timing{Wait: time.Second, Answer: time.Second, AnswerMost: time.Second}})
+		d.Follow(ctx, directory.FollowOptions{Source: emptySource{revision}, Reader: func() bool { return true }, Timing: directory.Timing{WatchWait: time.Second, AnswerTimeout: time.Second, MaxAnswerTime: time.Second}})
 		close(done)
 	}()
-	_, err := d.ListHead(t.Context(), revision)
+	_, err := d.ListMetadata(t.Context(), revision)
 	require.NoError(t, err)
 	cancel()
 	<-done
--- a/pkg/directory/backoff.go
+++ b/pkg/directory/backoff.go
@@ -29,9 +29,9 @@
 	misses := f.misses
 	f.mu.Unlock()
 	if f.there() || misses%patientEach == patientEach-1 {
-		return t.Answer
+		return t.AnswerTimeout
 	}
-	return time.Duration(hastyShare * float64(t.Answer))
+	return time.Duration(hastyShare * float64(t.AnswerTimeout))
 }
 
 // limit bounds a pause while there is nothing yet.
@@ -39,7 +39,7 @@
 	if f.there() {
 		return pause
 	}
-	return min(pause, hastyPauses*t.Backoff)
+	return min(pause, hastyPauses*t.InitialBackoff)
 }
 
 // missed counts an answer that did not come.
@@ -51,6 +51,6 @@
 
 // backoff is the pause after some failures in a row, with jitter.
 func backoff(t Timing, failures int) time.Duration {
-	d := min(t.Backoff<<min(failures, 8), t.BackoffMost)
+	d := min(t.InitialBackoff<<min(failures, 8), t.MaxBackoff)
 	return d/2 + rand.N(d/2+1)
 }
--- a/pkg/directory/bench_test.go
+++ b/pkg/directory/bench_test.go
@@ -24,7 +24,7 @@
 			for i := range b.N {
 				s := serverIn("east", i%n)
 				s.Leaving = i%2 == 0
-				d.Apply(Delta{From: uint64(i + 1), To: uint64(i + 2), Events: []ServerEvent{{Server: s}}})
+				d.ApplyDelta(Delta{From: uint64(i + 1), To: uint64(i + 2), Events: []ServerEvent{{Server: s}}})
 			}
 		})
 	}
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -15,24 +15,24 @@
 // Server is a backend server and where it stands in the list.
 type Server struct {
 	routing.Server
-	// Removed is when the list lost the server; zero while it is listed.
-	Removed time.Time
-	// Lapsed is until when a server that the list lost in an outage of the source is
+	// RemovedAt is when the list lost the server; zero while it is listed.
+	RemovedAt time.Time
+	// GraceEnd is until when a server that the list lost in an outage of the source is
 	// used as if it were listed; zero for others.
-	Lapsed time.Time
-	// Warm is when the server has warmed up, by what its entry said.
-	Warm time.Time
+	GraceEnd time.Time
+	// WarmUpEnd is when the server has warmed up, by what its entry said.
+	WarmUpEnd time.Time
 }
 
 // View is one consistent state of the belief. It is immutable.
 type View struct {
 	// Table is nil until the first one is known.
 	Table *routing.Table
-	// TableRead and ServersRead are when the source last confirmed each part.
-	TableRead   time.Time
-	ServersRead time.Time
-	// EvacuationsRead is when the source last confirmed which halls are evacuated.
-	EvacuationsRead time.Time
+	// TableConfirmedAt and ServersConfirmedAt are when the source last confirmed each part.
+	TableConfirmedAt   time.Time
+	ServersConfirmedAt time.Time
+	// EvacuationsConfirmedAt is when the source last confirmed which halls are evacuated.
+	EvacuationsConfirmedAt time.Time
 
 	pools map[string]*pool // by service
 	// warm is when servers have warmed up that do so; others are left out.
@@ -43,10 +43,10 @@
 }
 
 // TableAge is the time since the source last confirmed the table.
-func (v *View) TableAge(now time.Time) time.Duration { return now.Sub(v.TableRead) }
+func (v *View) TableAge(now time.Time) time.Duration { return now.Sub(v.TableConfirmedAt) }
 
 // ServersAge is the time since the source last confirmed the list.
-func (v *View) ServersAge(now time.Time) time.Duration { return now.Sub(v.ServersRead) }
+func (v *View) ServersAge(now time.Time) time.Duration { return now.Sub(v.ServersConfirmedAt) }
 
 // Candidates returns the servers of a service that may get new work: the listed
 // ones that are not leaving, with those that lapsed in an outage and may be back in a
@@ -62,9 +62,9 @@
 	var lost []routing.Server
 	for _, s := range p.lost {
 		switch {
-		case now.Before(s.Lapsed):
+		case now.Before(s.GraceEnd):
 			listed = append(slices.Clip(listed), s.Server)
-		case now.Sub(s.Removed) < grace:
+		case now.Sub(s.RemovedAt) < grace:
 			lost = append(lost, s.Server)
 		}
 	}
@@ -74,9 +74,9 @@
 	return lost
 }
 
-// Idle returns the servers of a service that get no new work and are still there: they leave, or
+// Draining returns the servers of a service that get no new work and are still there: they leave, or
 // their hall is evacuated. Callers must not change the list.
-func (v *View) Idle(service string) []routing.Server {
+func (v *View) Draining(service string) []routing.Server {
 	if p := v.pools[service]; p != nil {
 		return p.idle
 	}
@@ -92,19 +92,19 @@
 	}
 	list := slices.Clip(p.ready)
 	for _, s := range p.idle {
-		if !v.Evacuated(s.Hall) {
+		if !v.HallEvacuated(s.Hall) {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// Evacuated tells whether the servers of a hall get nothing.
-func (v *View) Evacuated(hall string) bool { return v.evacuated[hall] }
+// HallEvacuated tells whether the servers of a hall get nothing.
+func (v *View) HallEvacuated(hall string) bool { return v.evacuated[hall] }
 
-// Warm is when a server of a service has warmed up, by what is known of it; zero for one that has.
+// WarmUpEnd is when a server of a service has warmed up, by what is known of it; zero for one that has.
 // A server of a hall that was taken back may have been idle for long and have turned cold since.
-func (v *View) Warm(s *routing.Server, w routing.WarmUp) time.Time {
+func (v *View) WarmUpEnd(s *routing.Server, w routing.WarmUp) time.Time {
 	warm := v.warm[s.Incarnation()]
 	if since, ok := v.takenBack[s.Hall]; ok {
 		warm = latest(warm, since.Add(w.Duration))
@@ -118,7 +118,7 @@
 	view   atomic.Pointer[View]
 	// table and list follow the two parts.
 	table, list *follower
-	onNotice    func(Notice)
+	onNotice    func(Notification)
 	// applying orders the changes of each part; it guards deltas, those of the table
 	// that wait for the version that they begin at.
 	applying sync.Mutex
@@ -139,9 +139,9 @@
 }
 
 const (
-	// OutageLeast is how old the list must have grown for its source to have been
+	// MinOutage is how old the list must have grown for its source to have been
 	// away: checks come more often than that.
-	OutageLeast = 2500 * time.Millisecond
+	MinOutage = 2500 * time.Millisecond
 	// lapsedFor is how long after its return entries that lapsed meanwhile may still
 	// be missing. One that is missing after that is gone.
 	lapsedFor = 2 * time.Second
@@ -152,7 +152,7 @@
 	d := &Directory{logger: logger, servers: make(map[string]Server)}
 	d.view.Store(&View{})
 	d.table = newFollower(partTable, logger, func() bool { return d.View().Table != nil })
-	d.list = newFollower(partServers, logger, func() bool { return !d.View().ServersRead.IsZero() })
+	d.list = newFollower(partServers, logger, func() bool { return !d.View().ServersConfirmedAt.IsZero() })
 	return d
 }
 
@@ -162,7 +162,7 @@
 // Loaded tells whether both parts have been read once.
 func (d *Directory) Loaded() bool {
 	v := d.View()
-	return v.Table != nil && !v.ServersRead.IsZero()
+	return v.Table != nil && !v.ServersConfirmedAt.IsZero()
 }
 
 // setTable takes a table in, confirmed at a time; nil only confirms the one in
@@ -172,7 +172,7 @@
 	defer d.mu.Unlock()
 	v := *d.view.Load()
 	if t != nil && v.Table != nil && t.Version < v.Table.Version {
-		_ = level.Warn(d.logger).Log("msg", "table refused", "version", t.Version, "in_force", v.Table.Version, "reason", "a lower version than the one in force")
+		_ = level.Warn(d.logger).Log("msg", "routing table rejected", "version", t.Version, "in_force", v.Table.Version, "reason", "a lower version than the one in force")
 		return
 	}
 	if t != nil && (v.Table == nil || t.Version != v.Table.Version) {
@@ -183,7 +183,7 @@
 		_ = level.Info(d.logger).Log("msg", "table in force", "version", t.Version, "before", before)
 		v.Table = t
 	}
-	v.TableRead = at
+	v.TableConfirmedAt = at
 	d.view.Store(&v)
 }
 
@@ -193,10 +193,10 @@
 	defer d.mu.Unlock()
 	v := *d.view.Load()
 	if d.table.known().revision >= revision {
-		v.TableRead = later(v.TableRead, asked)
+		v.TableConfirmedAt = later(v.TableConfirmedAt, asked)
 	}
 	if d.list.known().revision >= revision {
-		v.ServersRead = later(v.ServersRead, asked)
+		v.ServersConfirmedAt = later(v.ServersConfirmedAt, asked)
 	}
 	d.view.Store(&v)
 }
@@ -222,7 +222,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.noteReturn(at)
-	quiet := d.view.Load().ServersRead.IsZero()
+	quiet := d.view.Load().ServersConfirmedAt.IsZero()
 	var events []ServerEvent
 	listed := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -232,7 +232,7 @@
 		}
 	}
 	for id, s := range d.servers {
-		if !listed[id] && s.Removed.IsZero() {
+		if !listed[id] && s.RemovedAt.IsZero() {
 			d.removeServer(id, at)
 			events = append(events, ServerEvent{Server: routing.Server{ID: id}, Removed: true})
 		}
@@ -265,8 +265,8 @@
 
 // noteReturn notes that the source has answered after an outage.
 func (d *Directory) noteReturn(now time.Time) {
-	read := d.view.Load().ServersRead
-	if !read.IsZero() && now.Sub(read) > OutageLeast {
+	read := d.view.Load().ServersConfirmedAt
+	if !read.IsZero() && now.Sub(read) > MinOutage {
 		d.returned = now
 	}
 }
@@ -276,7 +276,7 @@
 // thousands of them took a box longer than the list itself.
 func (d *Directory) setServer(s routing.Server, at time.Time, quiet bool) bool {
 	old, known := d.servers[s.ID]
-	if known && old.Removed.IsZero() && old.Server == s {
+	if known && old.RemovedAt.IsZero() && old.Server == s {
 		return false
 	}
 	line := level.Info(d.logger)
@@ -286,7 +286,7 @@
 	_ = line.Log("msg", "server listed", "server", s.ID, "service", s.Service, "address", s.Address, "hall", s.Hall, "leaving", s.Leaving, "known", known, "warm_up_ms", s.WarmUpRemaining.Milliseconds())
 	listed := Server{Server: s}
 	if s.WarmUpRemaining > 0 {
-		listed.Warm = at.Add(s.WarmUpRemaining)
+		listed.WarmUpEnd = at.Add(s.WarmUpRemaining)
 	}
 	d.servers[s.ID] = listed
 	return true
@@ -294,13 +294,13 @@
 
 func (d *Directory) removeServer(id string, at time.Time) {
 	s, known := d.servers[id]
-	if !known || !s.Removed.IsZero() {
+	if !known || !s.RemovedAt.IsZero() {
 		return
 	}
-	s.Removed = at
+	s.RemovedAt = at
 	if until := d.returned.Add(lapsedFor); at.Before(until) {
-		s.Lapsed = until
+		s.GraceEnd = until
 	}
 	d.servers[id] = s
-	_ = level.Info(d.logger).Log("msg", "server left the list", "server", id, "service", s.Service, "leaving", s.Leaving, "lapsed", !s.Lapsed.IsZero())
+	_ = level.Info(d.logger).Log("msg", "server removed", "server", id, "service", s.Service, "leaving", s.Leaving, "lapsed", !s.GraceEnd.IsZero())
 }
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -34,13 +34,13 @@
 	evacuations Evacuations
 }
 
-func (s *fakeSource) ReadTable(context.Context) (TableRead, error) {
-	return TableRead{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision(), Changed: 1}, nil
+func (s *fakeSource) ReadTable(context.Context) (TableResult, error) {
+	return TableResult{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision(), Changed: 1}, nil
 }
 
-func (s *fakeSource) WatchTable(ctx context.Context, _ uint64, wait time.Duration, _ int) (TableRead, error) {
+func (s *fakeSource) WatchTable(ctx context.Context, _ uint64, wait time.Duration, _ int) (TableResult, error) {
 	pause.For(ctx, wait)
-	return TableRead{Revision: s.revision()}, ctx.Err()
+	return TableResult{Revision: s.revision()}, ctx.Err()
 }
 
 func (s *fakeSource) revision() uint64 {
@@ -154,7 +154,7 @@
 	defer d.mu.Unlock()
 	m := make(map[string]routing.Server)
 	for id, s := range d.servers {
-		if s.Removed.IsZero() {
+		if s.RemovedAt.IsZero() {
 			m[id] = s.Server
 		}
 	}
@@ -180,7 +180,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "deltas") {
 			from := rapid.IntRange(0, len(events)).Draw(t, "from")
 			to := rapid.IntRange(from, len(events)).Draw(t, "to")
-			d.Apply(Delta{From: uint64(from + 1), To: uint64(to + 1), Events: events[from:to]})
+			d.ApplyDelta(Delta{From: uint64(from + 1), To: uint64(to + 1), Events: events[from:to]})
 			at := int(d.list.known().revision) - 1
 			want := make(map[string]routing.Server)
 			for _, s := range replay(events[:at]) {
@@ -200,7 +200,7 @@
 }
 
 func testTiming() Timing {
-	return Timing{Wait: 20 * time.Millisecond, Answer: time.Second, Lag: 2 * time.Second, Backoff: time.Millisecond, BackoffMost: 10 * time.Millisecond}
+	return Timing{WatchWait: 20 * time.Millisecond, AnswerTimeout: time.Second, MaxLag: 2 * time.Second, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond}
 }
 
 // withFollower runs f with a directory that has loaded a source. Its box is no reader.
@@ -229,7 +229,7 @@
 		assert.Equal(t, calls, source.calls)
 		source.events = append(source.events, ServerEvent{Server: routing.Server{ID: "a", Service: "s"}})
 		source.mu.Unlock()
-		d.Heard(Check{Asked: time.Now(), Revision: 2, TableChanged: 1, ServersChanged: 2})
+		d.ApplyCheck(Check{AskedAt: time.Now(), Revision: 2, TableChanged: 1, ServersChanged: 2})
 		assert.Eventually(t, func() bool { return len(d.listed()) == 1 }, 5*time.Second, time.Millisecond)
 		assert.Equal(t, uint64(2), d.table.known().revision, "what has not changed is confirmed without a question")
 	})
@@ -246,7 +246,7 @@
 		assert.Equal(t, uint64(2), check.ServersChanged)
 		assert.Equal(t, uint64(1), check.TableChanged)
 		assert.Len(t, d.listed(), 1)
-		_, ok = d.Verify(ctx, 99, time.Now(), Timing{Lag: 50 * time.Millisecond})
+		_, ok = d.Verify(ctx, 99, time.Now(), Timing{MaxLag: 50 * time.Millisecond})
 		assert.False(t, ok, "others are not told of what was not read")
 	})
 }
@@ -259,12 +259,12 @@
 	d.setServers(nil, before)
 	d.list.advance(known{revision: 5})
 	d.table.advance(known{revision: 5})
-	d.Heard(Check{Asked: asked, Revision: 7, TableChanged: 5, ServersChanged: 6})
+	d.ApplyCheck(Check{AskedAt: asked, Revision: 7, TableChanged: 5, ServersChanged: 6})
 	v := d.View()
-	assert.Equal(t, asked, v.TableRead)
-	assert.Equal(t, before, v.ServersRead, "a part that lacks a change is not confirmed")
-	d.Heard(Check{Asked: before, Revision: 7, TableChanged: 5, ServersChanged: 5})
-	assert.Equal(t, asked, d.View().TableRead, "an older check makes nothing older")
+	assert.Equal(t, asked, v.TableConfirmedAt)
+	assert.Equal(t, before, v.ServersConfirmedAt, "a part that lacks a change is not confirmed")
+	d.ApplyCheck(Check{AskedAt: before, Revision: 7, TableChanged: 5, ServersChanged: 5})
+	assert.Equal(t, asked, d.View().TableConfirmedAt, "an older check makes nothing older")
 }
 
 // Entries lapse while the source is away, though their servers are alive: those are
@@ -282,7 +282,7 @@
 		away time.Duration
 		want []string
 	}{
-		"in an outage": {OutageLeast + time.Second, []string{"a", "b"}},
+		"in an outage": {MinOutage + time.Second, []string{"a", "b"}},
 		"otherwise":    {time.Second, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/directory/evacuations.go
+++ b/pkg/directory/evacuations.go
@@ -34,8 +34,8 @@
 	return d.evacuations
 }
 
-// EvacuationsRead is when the source last confirmed which halls are evacuated.
-func (d *Directory) EvacuationsRead() time.Time { return d.View().EvacuationsRead }
+// EvacuationsConfirmedAt is when the source last confirmed which halls are evacuated.
+func (d *Directory) EvacuationsConfirmedAt() time.Time { return d.View().EvacuationsConfirmedAt }
 
 // SetEvacuations takes in which halls are evacuated, as the source said when it was asked. All of
 // them are told each time, so that what is lost or comes late does no harm: the highest revision
@@ -49,15 +49,15 @@
 	before := d.evacuations
 	d.evacuations = e
 	v := *d.view.Load()
-	v.EvacuationsRead = latest(v.EvacuationsRead, asked)
+	v.EvacuationsConfirmedAt = latest(v.EvacuationsConfirmedAt, asked)
 	changed := !maps.Equal(before.set(), e.set())
 	if changed {
 		v.takenBack = takenBack(v.takenBack, before, e, clock.Now())
 		d.logEvacuations(before, e, asked)
 	}
 	d.view.Store(&v)
-	if changed && !v.ServersRead.IsZero() {
-		d.publishServers(v.ServersRead)
+	if changed && !v.ServersConfirmedAt.IsZero() {
+		d.publishServers(v.ServersConfirmedAt)
 	}
 	return changed
 }
--- a/pkg/directory/evacuations_test.go
+++ b/pkg/directory/evacuations_test.go
@@ -41,7 +41,7 @@
 	d := withHalls(now)
 	assert.True(t, d.SetEvacuations(Evacuations{Halls: []string{"east"}, Revision: 7}, now))
 	assert.Equal(t, map[string]int{"north": 2, "west": 2}, hallsOf(d.View().Candidates("models", now, time.Second)))
-	assert.Equal(t, map[string]int{"east": 2}, hallsOf(d.View().Idle("models")), "caches can still be taken")
+	assert.Equal(t, map[string]int{"east": 2}, hallsOf(d.View().Draining("models")), "caches can still be taken")
 	assert.Equal(t, map[string]int{"north": 2, "west": 2}, hallsOf(d.View().Listed("models")), "no room for orders")
 
 	// A server that is listed meanwhile, and one that the list loses.
@@ -62,10 +62,10 @@
 	assert.True(t, d.SetEvacuations(Evacuations{Halls: []string{"east"}, Revision: 9}, now))
 	for _, s := range d.View().Candidates("models", now, 0) {
 		assert.NotEqual(t, "east", s.Hall)
-		assert.WithinDuration(t, time.Now().Add(limited.Duration), d.View().Warm(&s, limited), time.Second)
+		assert.WithinDuration(t, time.Now().Add(limited.Duration), d.View().WarmUpEnd(&s, limited), time.Second)
 	}
 	untouched := serverIn("east", 1)
-	assert.Zero(t, d.View().Warm(&untouched, limited))
+	assert.Zero(t, d.View().WarmUpEnd(&untouched, limited))
 }
 
 // Whatever order words of evacuations, servers and whole lists come in, candidates are those of the
@@ -115,7 +115,7 @@
 	}
 	withFollower(t, source, func(_ context.Context, first *Directory) {
 		followProvider(t, first, func(second *Directory) {
-			assert.Eventually(t, func() bool { return !second.View().ServersRead.IsZero() }, 20*time.Second, time.Millisecond)
+			assert.Eventually(t, func() bool { return !second.View().ServersConfirmedAt.IsZero() }, 20*time.Second, time.Millisecond)
 			assert.Equal(t, map[string]int{"west": 1}, hallsOf(second.View().Candidates("models", time.Now(), 0)))
 		})
 	})
@@ -130,14 +130,14 @@
 	d.changeServers([]ServerEvent{{Server: cold}, {Server: serverIn("east", 1)}}, now)
 	v, w := d.View(), routing.WarmUp{Duration: 3 * time.Second, PerSecond: 8}
 	warm := serverIn("east", 1)
-	assert.Zero(t, v.Warm(&warm, w))
-	assert.Equal(t, now.Add(3*time.Second), v.Warm(&cold, w))
+	assert.Zero(t, v.WarmUpEnd(&warm, w))
+	assert.Equal(t, now.Add(3*time.Second), v.WarmUpEnd(&cold, w))
 
 	// A warm server turns cold again at any moment, and says that it has warmed up.
 	warm.WarmUpRemaining = time.Second
 	d.changeServers([]ServerEvent{{Server: warm}}, now.Add(time.Minute))
-	assert.Equal(t, now.Add(time.Minute+time.Second), d.View().Warm(&warm, w))
+	assert.Equal(t, now.Add(time.Minute+time.Second), d.View().WarmUpEnd(&warm, w))
 	warm.WarmUpRemaining = 0
 	d.changeServers([]ServerEvent{{Server: warm}}, now.Add(time.Minute))
-	assert.Zero(t, d.View().Warm(&warm, w))
+	assert.Zero(t, d.View().WarmUpEnd(&warm, w))
 }
--- a/pkg/directory/follow.go
+++ b/pkg/directory/follow.go
@@ -15,30 +15,30 @@
 
 // Timing bounds how old the belief may grow.
 type Timing struct {
-	// Wait is how long a watch may stay silent.
-	Wait time.Duration
-	// Answer is how long the source may take to begin an answer, beyond a watch's wait,
-	// and how long an answer may stand still; AnswerMost bounds a whole answer.
-	Answer     time.Duration
-	AnswerMost time.Duration
-	// Lag is how long both parts may take to reach a revision that a check has
+	// WatchWait is how long a watch may stay silent.
+	WatchWait time.Duration
+	// AnswerTimeout is how long the source may take to begin an answer, beyond a watch's wait,
+	// and how long an answer may stand still; MaxAnswerTime bounds a whole answer.
+	AnswerTimeout time.Duration
+	MaxAnswerTime time.Duration
+	// MaxLag is how long both parts may take to reach a revision that a check has
 	// seen.
-	Lag time.Duration
-	// Collect is how long changes are gathered before the next watch begins, so
+	MaxLag time.Duration
+	// BatchDelay is how long changes are gathered before the next watch begins, so
 	// that many at once do not cost a call each.
-	Collect time.Duration
-	// Backoff is the first pause after a failure; BackoffMost bounds its growth.
-	Backoff     time.Duration
-	BackoffMost time.Duration
+	BatchDelay time.Duration
+	// InitialBackoff is the first pause after a failure; MaxBackoff bounds its growth.
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 }
 
 // limits bounds an answer of the source that begins within a time.
 func (t Timing) limits(first time.Duration) stall.Limits {
-	return stall.Limits{FirstByte: first, Idle: t.Answer, Total: t.AnswerMost}
+	return stall.Limits{FirstByte: first, Idle: t.AnswerTimeout, Total: t.MaxAnswerTime}
 }
 
-// Following is what a directory follows.
-type Following struct {
+// FollowOptions is what a directory follows.
+type FollowOptions struct {
 	Source Source
 	// Providers are asked before the source by boxes that are no readers.
 	Providers Providers
@@ -50,7 +50,7 @@
 // Follow keeps the belief up to date until ctx ends. Only a reader watches the
 // source all the time; other boxes are told of changes, and ask when they are told
 // of a revision that they lack.
-func (d *Directory) Follow(ctx context.Context, f Following) {
+func (d *Directory) Follow(ctx context.Context, f FollowOptions) {
 	t := f.Timing
 	var wg conc.WaitGroup
 	wg.Go(func() {
@@ -161,7 +161,7 @@
 
 // needsWhole tells whether an error says that the whole has to be read.
 func needsWhole(err error) bool {
-	return errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrHistoryLong)
+	return errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrHistoryTooLong)
 }
 
 // withCause adds why a context ended to an error that does not tell it.
@@ -181,14 +181,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.open.wanted > 0 || f.failures > 0 {
-		ctx, end := stall.WithLimits(ctx, t.limits(briefly+t.Answer))
+		ctx, end := stall.WithLimits(ctx, t.limits(briefly+t.AnswerTimeout))
 		return ctx, briefly, end
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	ctx, end := stall.WithLimits(ctx, t.limits(t.Wait+t.Answer))
+	ctx, end := stall.WithLimits(ctx, t.limits(t.WatchWait+t.AnswerTimeout))
 	w := &waitingWatch{ctx: ctx, cancel: cancel}
 	f.waiting = w
-	return ctx, t.Wait, func() {
+	return ctx, t.WatchWait, func() {
 		f.endWaiting(w)
 		end()
 		cancel(nil)
@@ -199,7 +199,7 @@
 func (f *follower) collect(ctx context.Context, t Timing) {
 	if changed := f.known().changed; changed != f.collected {
 		f.collected = changed
-		pause.For(ctx, t.Collect)
+		pause.For(ctx, t.BatchDelay)
 	}
 }
 
--- a/pkg/directory/follow_test.go
+++ b/pkg/directory/follow_test.go
@@ -29,9 +29,9 @@
 	return ctx.Err()
 }
 
-func (s *silentSource) ReadTable(ctx context.Context) (TableRead, error) {
+func (s *silentSource) ReadTable(ctx context.Context) (TableResult, error) {
 	if err := s.await(ctx); err != nil {
-		return TableRead{}, err
+		return TableResult{}, err
 	}
 	return s.fakeSource.ReadTable(ctx)
 }
@@ -53,8 +53,8 @@
 		done := make(chan struct{})
 		go func() {
 			d.Follow(ctx, alone(source, Timing{
-				Wait: 20 * time.Second, Answer: 700 * time.Millisecond, Lag: 300 * time.Millisecond,
-				Collect: 200 * time.Millisecond, Backoff: 60 * time.Millisecond, BackoffMost: 1200 * time.Millisecond,
+				WatchWait: 20 * time.Second, AnswerTimeout: 700 * time.Millisecond, MaxLag: 300 * time.Millisecond,
+				BatchDelay: 200 * time.Millisecond, InitialBackoff: 60 * time.Millisecond, MaxBackoff: 1200 * time.Millisecond,
 			}))
 			close(done)
 		}()
@@ -94,12 +94,12 @@
 	asks atomic.Int64
 }
 
-func (c *askCounter) ReadTable(ctx context.Context) (TableRead, error) {
+func (c *askCounter) ReadTable(ctx context.Context) (TableResult, error) {
 	c.asks.Add(1)
 	return c.Source.ReadTable(ctx)
 }
 
-func (c *askCounter) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableRead, error) {
+func (c *askCounter) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error) {
 	c.asks.Add(1)
 	return c.Source.WatchTable(ctx, after, wait, most)
 }
@@ -123,8 +123,8 @@
 		h.store.change(tableOf(2, "second"))
 		changed := h.store.newest().revision
 		for range 16 {
-			d.Noticed(Notice{TableChanged: changed})
-			d.Heard(Check{Asked: time.Now(), Revision: changed, TableChanged: changed, ServersChanged: 1})
+			d.ApplyNotification(Notification{TableChanged: changed})
+			d.ApplyCheck(Check{AskedAt: time.Now(), Revision: changed, TableChanged: changed, ServersChanged: 1})
 			time.Sleep(transfer / 10)
 		}
 		assert.Equal(t, uint64(2), d.View().Table.Version)
--- a/pkg/directory/history.go
+++ b/pkg/directory/history.go
@@ -88,7 +88,7 @@
 	Servers           []routing.Server
 	Delta             *Delta
 	Revision, Changed uint64
-	Read              time.Time
+	ConfirmedAt       time.Time
 	// Evacuations are the halls whose servers get nothing.
 	Evacuations Evacuations
 }
--- a/pkg/directory/history_test.go
+++ b/pkg/directory/history_test.go
@@ -17,7 +17,7 @@
 func listedIn(d *Directory) map[string]routing.Server {
 	list := make(map[string]routing.Server)
 	for id, s := range d.servers {
-		if s.Removed.IsZero() {
+		if s.RemovedAt.IsZero() {
 			list[id] = s.Server
 		}
 	}
@@ -47,7 +47,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			default:
 				e := ServerEvent{Server: s, Removed: rapid.Bool().Draw(t, "removed")}
-				first.Apply(Delta{From: revision, To: revision + 2, Events: []ServerEvent{e}})
+				first.ApplyDelta(Delta{From: revision, To: revision + 2, Events: []ServerEvent{e}})
 				revision += 2
 			case 7:
 				revision += 3
@@ -77,7 +77,7 @@
 func (l learner) watch(to uint64) {
 	known := l.directory.list.known().revision
 	if known < to {
-		l.directory.Apply(Delta{From: known, To: to, Events: (*l.source)[known-1 : to-1]})
+		l.directory.ApplyDelta(Delta{From: known, To: to, Events: (*l.source)[known-1 : to-1]})
 	}
 }
 
@@ -155,7 +155,7 @@
 			list = append(list, serverIn("east", i))
 		}
 		d.takeList(list, 5, time.Now())
-		d.Apply(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: serverIn("east", n)}}})
+		d.ApplyDelta(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: serverIn("east", n)}}})
 		c := copySince(d, 6)
 		assert.Len(t, c.Delta.Events, 1)
 		c = copySince(d, 4)
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -77,7 +77,7 @@
 }
 
 // take takes an answer in and tells the other boxes of it.
-func (p *tablePart) take(read TableRead, at time.Time, wait time.Duration) known {
+func (p *tablePart) take(read TableResult, at time.Time, wait time.Duration) known {
 	if read.Table != nil {
 		p.bytes = read.Bytes
 	}
@@ -211,7 +211,7 @@
 		return known{}, err
 	}
 	delta := Delta{From: after, To: changes.Revision, Events: changes.Events}
-	p.directory.Apply(delta)
+	p.directory.ApplyDelta(delta)
 	p.directory.tellServers(delta, wait)
 	return p.directory.list.known(), nil
 }
--- a/pkg/directory/pools.go
+++ b/pkg/directory/pools.go
@@ -31,10 +31,10 @@
 func (p *pool) add(s Server, evacuated bool) {
 	stopped := s.Leaving || evacuated
 	switch {
-	case stopped && s.Removed.IsZero():
+	case stopped && s.RemovedAt.IsZero():
 		p.idle = append(p.idle, s.Server)
 	case stopped:
-	case s.Removed.IsZero():
+	case s.RemovedAt.IsZero():
 		p.ready = append(p.ready, s.Server)
 	default:
 		p.lost = append(p.lost, s)
@@ -74,12 +74,12 @@
 // publishServers makes all pools anew. The caller holds mu.
 func (d *Directory) publishServers(at time.Time) {
 	v := *d.view.Load()
-	v.ServersRead = at
+	v.ServersConfirmedAt = at
 	v.warm = make(map[routing.Incarnation]time.Time)
 	v.evacuated = d.evacuations.set()
 	v.pools = make(map[string]*pool)
 	for id, s := range d.servers {
-		if !s.Removed.IsZero() && at.Sub(s.Removed) > removedKept {
+		if !s.RemovedAt.IsZero() && at.Sub(s.RemovedAt) > removedKept {
 			delete(d.servers, id)
 			continue
 		}
@@ -89,8 +89,8 @@
 			v.pools[s.Service] = p
 		}
 		p.add(s, v.evacuated[s.Hall])
-		if s.Warm.After(at) {
-			v.warm[s.Incarnation()] = s.Warm
+		if s.WarmUpEnd.After(at) {
+			v.warm[s.Incarnation()] = s.WarmUpEnd
 		}
 	}
 	for _, p := range v.pools {
@@ -109,7 +109,7 @@
 		return
 	}
 	v := *d.view.Load()
-	v.ServersRead = at
+	v.ServersConfirmedAt = at
 	if len(events) > 0 {
 		v.pools, v.warm = maps.Clone(v.pools), maps.Clone(v.warm)
 		d.replace(&v, events, at)
@@ -136,8 +136,8 @@
 		}
 		v.pools[s.Service].insert(s, v.evacuated[s.Hall])
 		delete(v.warm, s.Incarnation())
-		if s.Warm.After(at) {
-			v.warm[s.Incarnation()] = s.Warm
+		if s.WarmUpEnd.After(at) {
+			v.warm[s.Incarnation()] = s.WarmUpEnd
 		}
 	}
 }
--- a/pkg/directory/providers.go
+++ b/pkg/directory/providers.go
@@ -28,8 +28,8 @@
 	Table *routing.Table
 	// Revision and Changed are up to where the table is known, and where it changed last.
 	Revision, Changed uint64
-	// Read is when the source confirmed it.
-	Read time.Time
+	// ConfirmedAt is when the source confirmed it.
+	ConfirmedAt time.Time
 }
 
 // Providers are the other boxes that this one asks for what it lacks, which spares the
@@ -70,7 +70,7 @@
 	if err != nil {
 		return known{}, err
 	}
-	p.directory.readTable(TableRead{Table: c.Table, Revision: c.Revision, Changed: c.Changed}, c.Read)
+	p.directory.readTable(TableResult{Table: c.Table, Revision: c.Revision, Changed: c.Changed}, c.ConfirmedAt)
 	return known{revision: c.Revision, changed: c.Changed}, nil
 }
 
@@ -80,11 +80,11 @@
 	if err != nil {
 		return known{}, err
 	}
-	p.directory.SetEvacuations(c.Evacuations, c.Read)
+	p.directory.SetEvacuations(c.Evacuations, c.ConfirmedAt)
 	if c.Delta != nil {
 		p.directory.applyCopied(*c.Delta)
 	} else {
-		p.directory.takeList(c.Servers, c.Revision, c.Read)
+		p.directory.takeList(c.Servers, c.Revision, c.ConfirmedAt)
 	}
 	return known{revision: c.Revision, changed: c.Changed}, nil
 }
@@ -130,12 +130,12 @@
 	// The table is taken after what is known of it: it may be newer, and is never older.
 	k := d.table.known()
 	v := d.View()
-	return TableCopy{Table: v.Table, Revision: k.revision, Changed: k.changed, Read: v.TableRead}, nil
+	return TableCopy{Table: v.Table, Revision: k.revision, Changed: k.changed, ConfirmedAt: v.TableConfirmedAt}, nil
 }
 
-// ListHead returns up to where this box knows the list, without the servers, once it is known at a
+// ListMetadata returns up to where this box knows the list, without the servers, once it is known at a
 // revision; ErrBehind if it is not when ctx ends.
-func (d *Directory) ListHead(ctx context.Context, least uint64) (ListCopy, error) {
+func (d *Directory) ListMetadata(ctx context.Context, least uint64) (ListCopy, error) {
 	if err := d.list.await(ctx, least); err != nil {
 		return ListCopy{}, err
 	}
@@ -149,7 +149,7 @@
 // listHead is a copy without servers. The caller holds applying and mu.
 func (d *Directory) listHead() ListCopy {
 	k := d.list.known()
-	return ListCopy{Revision: k.revision, Changed: k.changed, Read: d.view.Load().ServersRead, Evacuations: d.evacuations}
+	return ListCopy{Revision: k.revision, Changed: k.changed, ConfirmedAt: d.view.Load().ServersConfirmedAt, Evacuations: d.evacuations}
 }
 
 // ListSince returns what has changed in the list since a revision; false where that is not known.
@@ -176,7 +176,7 @@
 	defer d.mu.Unlock()
 	c := d.listHead()
 	for _, id := range slices.Sorted(maps.Keys(d.servers)) {
-		if s := d.servers[id]; s.Removed.IsZero() {
+		if s := d.servers[id]; s.RemovedAt.IsZero() {
 			c.Servers = append(c.Servers, s.Server)
 		}
 	}
--- a/pkg/directory/providers_test.go
+++ b/pkg/directory/providers_test.go
@@ -27,8 +27,8 @@
 }
 
 // alone follows a source as a box that knows no other and reads for none.
-func alone(source Source, t Timing) Following {
-	return Following{Source: source, Providers: nobody{}, Timing: t, Reader: func() bool { return false }}
+func alone(source Source, t Timing) FollowOptions {
+	return FollowOptions{Source: source, Providers: nobody{}, Timing: t, Reader: func() bool { return false }}
 }
 
 // oneProvider is a box that is asked by another.
@@ -46,7 +46,7 @@
 func (n oneProvider) Servers(ctx context.Context, since, least uint64) (ListCopy, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.patience)
 	defer cancel()
-	if _, err := n.ListHead(ctx, least); err != nil {
+	if _, err := n.ListMetadata(ctx, least); err != nil {
 		return ListCopy{}, err
 	}
 	return copySince(n.Directory, since), nil
@@ -57,9 +57,9 @@
 
 var errDead = errors.New("dead")
 
-func (deadSource) ReadTable(context.Context) (TableRead, error) { return TableRead{}, errDead }
-func (deadSource) WatchTable(context.Context, uint64, time.Duration, int) (TableRead, error) {
-	return TableRead{}, errDead
+func (deadSource) ReadTable(context.Context) (TableResult, error) { return TableResult{}, errDead }
+func (deadSource) WatchTable(context.Context, uint64, time.Duration, int) (TableResult, error) {
+	return TableResult{}, errDead
 }
 func (deadSource) ReadServers(context.Context, string, bool) (ServersPage, error) {
 	return ServersPage{}, errDead
@@ -98,7 +98,7 @@
 			require.True(t, d.Loaded())
 			assert.Equal(t, other.View().Table, d.View().Table)
 			assert.Equal(t, other.listed(), d.listed())
-			assert.Equal(t, other.View().TableRead, d.View().TableRead, "what is copied is as old as it was")
+			assert.Equal(t, other.View().TableConfirmedAt, d.View().TableConfirmedAt, "what is copied is as old as it was")
 			other.setTable(tableOf(9, "b"), time.Now())
 			other.setServers([]routing.Server{{ID: "u", Service: "x"}}, time.Now())
 			go func() {
@@ -106,7 +106,7 @@
 				other.table.advance(known{revision: 7, changed: 7})
 				other.list.advance(known{revision: 7, changed: 7})
 			}()
-			d.Noticed(Notice{TableChanged: 7, ServersChanged: 7})
+			d.ApplyNotification(Notification{TableChanged: 7, ServersChanged: 7})
 			time.Sleep(time.Second)
 			assert.Equal(t, uint64(9), d.View().Table.Version, "it waits until the other has it")
 			assert.Equal(t, other.listed(), d.listed())
@@ -128,7 +128,7 @@
 // A list that was on its way while changes came must not undo them.
 func TestListOnItsWayUndoesNothing(t *testing.T) {
 	d := knowing(tableOf(3, "a"), 5)
-	d.Apply(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: routing.Server{ID: "new", Service: "s"}}}})
+	d.ApplyDelta(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: routing.Server{ID: "new", Service: "s"}}}})
 	assert.Empty(t, d.takeList(nil, 7, time.Now()))
 	assert.Len(t, d.listed(), 1)
 	assert.Len(t, d.takeList(nil, 9, time.Now()), 1)
@@ -139,11 +139,11 @@
 // longSource has no history for whoever watches.
 type longSource struct{ *simulatedBox }
 
-func (s longSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, _ int) (TableRead, error) {
+func (s longSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, _ int) (TableResult, error) {
 	if _, err := s.simulatedBox.WatchTable(ctx, after, wait, math.MaxInt); err != nil {
-		return TableRead{}, err
+		return TableResult{}, err
 	}
-	return TableRead{}, ErrHistoryLong
+	return TableResult{}, ErrHistoryTooLong
 }
 
 // A reader that has to read the whole, as what its watch would tell is too long, tells the
@@ -153,8 +153,8 @@
 		h := &history{t: t, begun: time.Now(), store: newStore(routeBytes)}
 		h.store.change(tableOf(1, "first"))
 		d := New(h.logger(0))
-		told := make(chan Notice, 8)
-		d.OnNotice(func(n Notice) { told <- n })
+		told := make(chan Notification, 8)
+		d.OnNotification(func(n Notification) { told <- n })
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
--- a/pkg/directory/share.go
+++ b/pkg/directory/share.go
@@ -12,8 +12,8 @@
 // Check is what is known of the source at a moment: its revision, and at which
 // revision each part changed last, up to that one.
 type Check struct {
-	// Asked is when the source was asked: what it said is no older.
-	Asked          time.Time
+	// AskedAt is when the source was asked: what it said is no older.
+	AskedAt        time.Time
 	Revision       uint64
 	TableChanged   uint64
 	ServersChanged uint64
@@ -34,7 +34,7 @@
 	for _, f := range []*follower{d.table, d.list} {
 		f.reach(revision)
 	}
-	end := clock.Now().Add(t.Lag)
+	end := clock.Now().Add(t.MaxLag)
 	for d.table.known().revision < revision || d.list.known().revision < revision {
 		if ctx.Err() != nil || clock.Now().After(end) {
 			return Check{}, false
@@ -43,7 +43,7 @@
 	}
 	d.confirm(revision, asked)
 	return Check{
-		Asked: asked, Revision: revision,
+		AskedAt: asked, Revision: revision,
 		TableChanged: d.table.known().changed, ServersChanged: d.list.known().changed,
 	}, true
 }
@@ -51,17 +51,17 @@
 // verifyStep is how often Verify looks.
 const verifyStep = 5 * time.Millisecond
 
-// Heard takes in what another box has verified. A part that has not changed since
+// ApplyCheck takes in what another box has verified. A part that has not changed since
 // this box knew it is confirmed, another one is asked for.
-func (d *Directory) Heard(c Check) {
+func (d *Directory) ApplyCheck(c Check) {
 	d.table.heardOf(c.Revision, c.TableChanged)
 	d.list.heardOf(c.Revision, c.ServersChanged)
-	d.confirm(c.Revision, c.Asked)
+	d.confirm(c.Revision, c.AskedAt)
 }
 
-// Apply takes a delta in if it follows on what this box knows. Deltas come from this
+// ApplyDelta takes a delta in if it follows on what this box knows. Deltas come from this
 // box's own watch and from others: an older one must not undo a newer.
-func (d *Directory) Apply(delta Delta) { d.apply(delta, d.history.add) }
+func (d *Directory) ApplyDelta(delta Delta) { d.apply(delta, d.history.add) }
 
 // applyCopied is Apply for what another box tells of the changes since a revision. It may have read
 // the whole list meanwhile.
@@ -83,35 +83,35 @@
 	d.list.advance(k)
 }
 
-// Notice is what a box has seen before the others: a change of the table, or of the
+// Notification is what a box has seen before the others: a change of the table, or of the
 // list.
-type Notice struct {
+type Notification struct {
 	// TableChanged is the revision of the new table, zero for none.
 	TableChanged uint64
-	// Table leads to the new table from the one before; nil if there was none.
-	Table *routing.Delta
-	// Delta is what has changed in the list; nil where nothing has, or where only the
+	// TableDelta leads to the new table from the one before; nil if there was none.
+	TableDelta *routing.Delta
+	// ServersDelta is what has changed in the list; nil where nothing has, or where only the
 	// revision is told at which it has.
-	Delta          *Delta
+	ServersDelta   *Delta
 	ServersChanged uint64
 	// Evacuations are all halls that are evacuated, as the source said when it was asked; nil where
 	// nothing is told of them.
-	Evacuations      *Evacuations
-	EvacuationsAsked time.Time
+	Evacuations        *Evacuations
+	EvacuationsAskedAt time.Time
 }
 
-// OnNotice sets who is told of changes that this box sees first.
-func (d *Directory) OnNotice(f func(Notice)) { d.onNotice = f }
+// OnNotification sets who is told of changes that this box sees first.
+func (d *Directory) OnNotification(f func(Notification)) { d.onNotice = f }
 
 // tellTable tells of a new table if this box is ahead of the others.
-func (d *Directory) tellTable(before *routing.Table, read TableRead, wait time.Duration) {
+func (d *Directory) tellTable(before *routing.Table, read TableResult, wait time.Duration) {
 	if read.Table == nil || !d.ahead(wait) {
 		return
 	}
-	n := Notice{TableChanged: read.Changed}
+	n := Notification{TableChanged: read.Changed}
 	if before != nil && before.Version < read.Table.Version {
 		delta := routing.Diff(before, read.Table)
-		n.Table = &delta
+		n.TableDelta = &delta
 	}
 	d.onNotice(n)
 }
@@ -119,7 +119,7 @@
 // tellServers tells of a change of the list if this box is ahead of the others.
 func (d *Directory) tellServers(delta Delta, wait time.Duration) {
 	if len(delta.Events) > 0 && d.ahead(wait) {
-		d.onNotice(Notice{Delta: &delta})
+		d.onNotice(Notification{ServersDelta: &delta})
 	}
 }
 
@@ -131,7 +131,7 @@
 		return err
 	}
 	if d.SetEvacuations(evacuations, asked) && d.onNotice != nil {
-		d.onNotice(Notice{Evacuations: &evacuations, EvacuationsAsked: asked})
+		d.onNotice(Notification{Evacuations: &evacuations, EvacuationsAskedAt: asked})
 	}
 	return nil
 }
@@ -143,16 +143,16 @@
 	return d.onNotice != nil && (wait > briefly || d.verifying.Load() > 0)
 }
 
-// Noticed takes in what another box has seen.
-func (d *Directory) Noticed(n Notice) {
+// ApplyNotification takes in what another box has seen.
+func (d *Directory) ApplyNotification(n Notification) {
 	if n.Evacuations != nil {
-		d.SetEvacuations(*n.Evacuations, n.EvacuationsAsked)
+		d.SetEvacuations(*n.Evacuations, n.EvacuationsAskedAt)
 	}
-	if n.Delta != nil {
-		d.Apply(*n.Delta)
+	if n.ServersDelta != nil {
+		d.ApplyDelta(*n.ServersDelta)
 	}
-	if n.Table != nil {
-		d.noticedTable(tableDelta{Delta: *n.Table, changed: n.TableChanged})
+	if n.TableDelta != nil {
+		d.noticedTable(tableDelta{Delta: *n.TableDelta, changed: n.TableChanged})
 	}
 	if n.TableChanged > 0 {
 		d.table.heardOf(0, n.TableChanged)
--- a/pkg/directory/share_test.go
+++ b/pkg/directory/share_test.go
@@ -40,28 +40,28 @@
 // not ask.
 func TestNewTableIsTakenFromAnothersWord(t *testing.T) {
 	one, two, other := knowing(tableOf(3, "a"), 5), knowing(tableOf(3, "a"), 5), knowing(tableOf(3, "x"), 5)
-	var told []Notice
-	one.OnNotice(func(n Notice) { told = append(told, n) })
+	var told []Notification
+	one.OnNotification(func(n Notification) { told = append(told, n) })
 	before, next := one.View().Table, tableOf(8, "a", "b")
 	one.setTable(next, time.Now())
-	one.tellTable(before, TableRead{Table: next, Changed: 9}, briefly)
+	one.tellTable(before, TableResult{Table: next, Changed: 9}, briefly)
 	require.Empty(t, told, "who only asks what he was told of tells nobody")
 
 	one.verifying.Add(1)
-	one.tellTable(before, TableRead{Table: next, Changed: 9}, briefly)
+	one.tellTable(before, TableResult{Table: next, Changed: 9}, briefly)
 	require.Len(t, told, 1)
-	two.Noticed(told[0])
+	two.ApplyNotification(told[0])
 	assert.Equal(t, uint64(8), two.View().Table.Version)
 	assert.Equal(t, known{revision: 9, changed: 9}, two.table.known())
 	assert.False(t, two.table.isHurried(), "it need not ask")
 
-	other.Noticed(told[0])
+	other.ApplyNotification(told[0])
 	assert.Equal(t, uint64(3), other.View().Table.Version, "it leads from another table")
 	assert.True(t, other.table.isHurried(), "it has to ask")
 
 	two.setTable(tableOf(11, "c"), time.Now())
 	two.table.advance(known{revision: 12, changed: 12})
-	two.Noticed(told[0])
+	two.ApplyNotification(told[0])
 	assert.Equal(t, uint64(11), two.View().Table.Version, "a late word undoes nothing")
 	assert.False(t, two.table.isHurried())
 }
@@ -73,21 +73,21 @@
 	}}
 	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
 	for _, d := range []*Directory{one, two} {
-		k, err := (&serversPart{directory: d, source: source, timing: Timing{Answer: time.Second}}).read(context.Background(), time.Now())
+		k, err := (&serversPart{directory: d, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
 		require.NoError(t, err)
 		d.list.advance(k)
 	}
 	source.events = append(source.events, ServerEvent{Server: routing.Server{ID: "gone"}, Removed: true}, ServerEvent{Server: routing.Server{ID: "new", Service: "s"}})
-	var told []Notice
-	one.OnNotice(func(n Notice) { told = append(told, n) })
+	var told []Notification
+	one.OnNotification(func(n Notification) { told = append(told, n) })
 	one.verifying.Add(1)
 	one.list.forget()
 	require.False(t, one.list.watchable())
-	_, err := (&serversPart{directory: one, source: source, timing: Timing{Answer: time.Second}}).read(context.Background(), time.Now())
+	_, err := (&serversPart{directory: one, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
 	require.NoError(t, err)
 	require.Len(t, told, 1)
 	calls := source.calls
-	two.Noticed(told[0])
+	two.ApplyNotification(told[0])
 	assert.Equal(t, one.listed(), two.listed())
 	assert.Equal(t, uint64(5), two.list.known().revision)
 	assert.Equal(t, calls, source.calls)
--- a/pkg/directory/simulation_test.go
+++ b/pkg/directory/simulation_test.go
@@ -49,9 +49,9 @@
 )
 
 var historyTiming = Timing{
-	Wait: 20 * time.Second, Answer: 700 * time.Millisecond, AnswerMost: 5 * time.Minute,
-	Lag: applied * 50 / 100, Collect: applied * 10 / 100,
-	Backoff: applied * 3 / 100, BackoffMost: applied * 60 / 100,
+	WatchWait: 20 * time.Second, AnswerTimeout: 700 * time.Millisecond, MaxAnswerTime: 5 * time.Minute,
+	MaxLag: applied * 50 / 100, BatchDelay: applied * 10 / 100,
+	InitialBackoff: applied * 3 / 100, MaxBackoff: applied * 60 / 100,
 }
 
 // version is one version of the table in a history.
@@ -207,25 +207,25 @@
 	return n, context.Cause(r.ctx)
 }
 
-func (b *simulatedBox) ReadTable(ctx context.Context) (TableRead, error) {
+func (b *simulatedBox) ReadTable(ctx context.Context) (TableResult, error) {
 	if err := b.reach(ctx); err != nil {
-		return TableRead{}, err
+		return TableResult{}, err
 	}
 	v, bytes := b.history.store.newest(), b.history.store.tableLength()
-	return TableRead{Table: v.table, Revision: v.revision, Changed: v.revision, Bytes: bytes}, b.carry(ctx, bytes)
+	return TableResult{Table: v.table, Revision: v.revision, Changed: v.revision, Bytes: bytes}, b.carry(ctx, bytes)
 }
 
-func (b *simulatedBox) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableRead, error) {
+func (b *simulatedBox) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error) {
 	if err := b.reach(ctx); err != nil {
-		return TableRead{}, err
+		return TableResult{}, err
 	}
 	versions, changed := b.history.store.since(after)
 	if len(versions) == 0 {
 		select {
 		case <-ctx.Done():
-			return TableRead{}, context.Cause(ctx)
+			return TableResult{}, context.Cause(ctx)
 		case <-time.After(wait):
-			return TableRead{Revision: after}, nil
+			return TableResult{Revision: after}, nil
 		case <-changed:
 		}
 		versions, _ = b.history.store.since(after)
@@ -233,11 +233,11 @@
 	last := versions[len(versions)-1]
 	switch bytes := len(versions) * b.history.store.tableLength(); {
 	case time.Since(versions[0].made) > storedFor:
-		return TableRead{}, ErrHistoryLost
+		return TableResult{}, ErrHistoryLost
 	case bytes > most:
-		return TableRead{}, ErrHistoryLong
+		return TableResult{}, ErrHistoryTooLong
 	default:
-		return TableRead{Table: last.table, Revision: last.revision, Changed: last.revision, Bytes: bytes}, b.carry(ctx, bytes)
+		return TableResult{Table: last.table, Revision: last.revision, Changed: last.revision, Bytes: bytes}, b.carry(ctx, bytes)
 	}
 }
 
@@ -267,7 +267,7 @@
 		p.uploads.Add(1)
 		defer p.uploads.Add(-1)
 		bytes := b.history.store.tableLength() / packed
-		within, cancel := stall.WithLimits(b.history.ctx, historyTiming.limits(historyTiming.Answer))
+		within, cancel := stall.WithLimits(b.history.ctx, historyTiming.limits(historyTiming.AnswerTimeout))
 		defer cancel()
 		return c, transferOver(&linkReader{ctx: within, box: b, left: bytes, share: func() int { return p.speed / int(p.uploads.Load()) }, sent: &b.history.between})
 	})
@@ -276,7 +276,7 @@
 // Servers implements Providers.
 func (b *simulatedBox) Servers(ctx context.Context, since, least uint64) (ListCopy, error) {
 	return askProviders(ctx, b, func(ctx context.Context, _ *simulatedBox, d *Directory) (ListCopy, error) {
-		if _, err := d.ListHead(ctx, least); err != nil {
+		if _, err := d.ListMetadata(ctx, least); err != nil {
 			return ListCopy{}, err
 		}
 		return d.ListCopy(), nil
@@ -335,14 +335,14 @@
 func (b *simulatedBox) start(ctx context.Context, wg *sync.WaitGroup) {
 	ctx, b.stop = context.WithCancel(ctx)
 	d := New(b.history.logger(b.number))
-	d.OnNotice(func(n Notice) {
-		b.history.tell(b, func(_ *simulatedBox, d *Directory) { d.Noticed(n.within(smallDelta)) })
+	d.OnNotification(func(n Notification) {
+		b.history.tell(b, func(_ *simulatedBox, d *Directory) { d.ApplyNotification(n.within(smallDelta)) })
 	})
 	b.mu.Lock()
 	b.directory, b.seen, b.inTouch, b.heard = d, 0, time.Now(), time.Now()
 	b.mu.Unlock()
 	wg.Go(func() {
-		d.Follow(ctx, Following{Source: b, Providers: b, Timing: historyTiming, Reader: func() bool { return b.number < readersOfHistories }})
+		d.Follow(ctx, FollowOptions{Source: b, Providers: b, Timing: historyTiming, Reader: func() bool { return b.number < readersOfHistories }})
 	})
 	wg.Go(func() { b.checks(ctx, d) })
 }
@@ -351,9 +351,9 @@
 const smallDelta = 5
 
 // within leaves out a delta that is too long for a datagram.
-func (n Notice) within(routes int) Notice {
-	if n.Table != nil && len(n.Table.Routes.Set) > routes {
-		n.Table = nil
+func (n Notification) within(routes int) Notification {
+	if n.TableDelta != nil && len(n.TableDelta.Routes.Set) > routes {
+		n.TableDelta = nil
 	}
 	return n
 }
@@ -364,7 +364,7 @@
 		if !b.quietFor(ctx, checkEvery+rand.N(checkSpread)) {
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, historyTiming.Answer)
+		within, cancel := context.WithTimeout(ctx, historyTiming.AnswerTimeout)
 		asked, err := time.Now(), b.reach(within)
 		cancel()
 		if err != nil {
@@ -373,7 +373,7 @@
 		if c, ok := d.Verify(ctx, b.history.store.newest().revision, asked, historyTiming); ok {
 			b.history.tell(b, func(to *simulatedBox, d *Directory) {
 				to.spared()
-				d.Heard(c)
+				d.ApplyCheck(c)
 			})
 		}
 	}
--- a/pkg/directory/source.go
+++ b/pkg/directory/source.go
@@ -12,12 +12,12 @@
 // whole has to be read again.
 var ErrHistoryLost = errors.New("the history since that revision is gone: read the whole again")
 
-// ErrHistoryLong says that the changes since a revision are longer than what the caller
+// ErrHistoryTooLong says that the changes since a revision are longer than what the caller
 // would take.
-var ErrHistoryLong = errors.New("the changes since that revision are too long: read the whole instead")
+var ErrHistoryTooLong = errors.New("the changes since that revision are too long: read the whole instead")
 
-// TableRead is the routing table at a revision of the source.
-type TableRead struct {
+// TableResult is the routing table at a revision of the source.
+type TableResult struct {
 	// Table is nil if there is none yet, or if it has not changed.
 	Table    *routing.Table
 	Revision uint64
@@ -51,10 +51,10 @@
 // Source is where table and servers come from. Watches return when something has
 // changed or the wait is over.
 type Source interface {
-	ReadTable(ctx context.Context) (TableRead, error)
+	ReadTable(ctx context.Context) (TableResult, error)
 	// WatchTable takes at most so many bytes. The changes since a revision may hold many
-	// whole tables; a longer answer is ErrHistoryLong.
-	WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableRead, error)
+	// whole tables; a longer answer is ErrHistoryTooLong.
+	WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error)
 	// ReadServers reads the page of the list that begins at a place; "" is the
 	// beginning. A stale page may be older than the source, but it is cheap and bound
 	// by no rate.
--- a/pkg/directory/state.go
+++ b/pkg/directory/state.go
@@ -14,21 +14,21 @@
 	Revision uint64
 	// Age is the time since the source last confirmed the part; zero if it never has.
 	Age time.Duration
-	// Misses counts the questions that the source has not answered.
-	Misses int
+	// Failures counts the questions that the source has not answered.
+	Failures int
 }
 
 // States tells how much this box knows of each part, by the part's name.
 func (d *Directory) States(now time.Time) map[string]State {
 	v := d.View()
 	return map[string]State{
-		partTable:   d.table.stateOf(v.TableRead, now),
-		partServers: d.list.stateOf(v.ServersRead, now),
+		partTable:   d.table.stateOf(v.TableConfirmedAt, now),
+		partServers: d.list.stateOf(v.ServersConfirmedAt, now),
 	}
 }
 
-// TableFails tells whether the source gave no answer when it was last asked for the table.
-func (d *Directory) TableFails() bool {
+// TableReadFailing tells whether the source gave no answer when it was last asked for the table.
+func (d *Directory) TableReadFailing() bool {
 	d.table.mu.Lock()
 	defer d.table.mu.Unlock()
 	return d.table.failures > 0
@@ -37,7 +37,7 @@
 func (f *follower) stateOf(read, now time.Time) State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := State{Revision: f.state.revision, Misses: f.misses}
+	s := State{Revision: f.state.revision, Failures: f.misses}
 	if !read.IsZero() {
 		s.Age = now.Sub(read)
 	}
--- a/pkg/directory/state_test.go
+++ b/pkg/directory/state_test.go
@@ -18,6 +18,6 @@
 	d.list.heard(errors.New("away"))
 	assert.Equal(t, map[string]State{
 		partTable:   {Revision: 9, Age: 3 * time.Second},
-		partServers: {Misses: 1},
+		partServers: {Failures: 1},
 	}, d.States(now))
 }
--- a/pkg/directory/tabledeltas.go
+++ b/pkg/directory/tabledeltas.go
@@ -36,7 +36,7 @@
 
 // readTable takes in a table that was read, and then what has been told of newer ones. It
 // returns the table that was in force before.
-func (d *Directory) readTable(read TableRead, at time.Time) *routing.Table {
+func (d *Directory) readTable(read TableResult, at time.Time) *routing.Table {
 	d.applying.Lock()
 	defer d.applying.Unlock()
 	before := d.View().Table
--- a/pkg/directory/unbegun_test.go
+++ b/pkg/directory/unbegun_test.go
@@ -16,10 +16,10 @@
 // hand.
 type gatheringSource struct{ *simulatedBox }
 
-func (s gatheringSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableRead, error) {
+func (s gatheringSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error) {
 	if s.history.store.newest().revision > after {
 		<-ctx.Done()
-		return TableRead{}, ctx.Err()
+		return TableResult{}, ctx.Err()
 	}
 	return s.simulatedBox.WatchTable(ctx, after, wait, most)
 }
@@ -85,4 +85,4 @@
 }
 
 // stalledError is how an exchange ends whose answer does not begin.
-func stalledError() error { return &stall.Error{Limit: historyTiming.Answer} }
+func stalledError() error { return &stall.Error{Limit: historyTiming.AnswerTimeout} }
--- a/pkg/forms/forms.go
+++ b/pkg/forms/forms.go
@@ -22,8 +22,8 @@
 // to each other.
 const Level = LevelEvacuations
 
-// Of is the level that a message names, where zero stands for none.
-func Of(named int) int { return max(LevelFirst, named) }
+// EffectiveLevel is the level that a message names, where zero stands for none.
+func EffectiveLevel(named int) int { return max(LevelFirst, named) }
 
-// Whole tells whether what a sender of a level has read holds all that this build acts on.
-func Whole(named int) bool { return Of(named) >= Level }
+// Complete tells whether what a sender of a level has read holds all that this build acts on.
+func Complete(named int) bool { return EffectiveLevel(named) >= Level }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -243,7 +243,7 @@
 		return
 	}
 	ctx := x.request.Context()
-	for end := x.arrival.Add(wait); clock.Now().Before(end) && ctx.Err() == nil && !x.gateway.Directory.TableFails(); {
+	for end := x.arrival.Add(wait); clock.Now().Before(end) && ctx.Err() == nil && !x.gateway.Directory.TableReadFailing(); {
 		pause.For(ctx, tableWaitStep)
 		if x.view = x.gateway.Directory.View(); x.view.Table != nil {
 			return
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -199,10 +199,10 @@
 	view := x.gateway.Directory.View()
 	return balancer.Query{
 		Candidates:         x.candidates(view, now),
-		Draining:           x.allowed(view.Idle(x.service.Name)),
+		Draining:           x.allowed(view.Draining(x.service.Name)),
 		WarmUp:             x.service.WarmUp,
-		ListStale:          view.ServersAge(now) > directory.OutageLeast,
-		WarmUpEnd:          func(s *routing.Server) time.Time { return view.Warm(s, x.service.WarmUp) },
+		ListStale:          view.ServersAge(now) > directory.MinOutage,
+		WarmUpEnd:          func(s *routing.Server) time.Time { return view.WarmUpEnd(s, x.service.WarmUp) },
 		Hall:               x.gateway.Hall,
 		Parts:              x.call.Parts,
 		PromptTokens:       x.call.PromptTokens,
--- a/pkg/roster/level.go
+++ b/pkg/roster/level.go
@@ -6,7 +6,7 @@
 func lowestLevel(entries []Entry) int {
 	lowest := forms.Level
 	for _, e := range entries {
-		lowest = min(lowest, forms.Of(e.Level))
+		lowest = min(lowest, forms.EffectiveLevel(e.Level))
 	}
 	return lowest
 }
@@ -19,7 +19,7 @@
 func (r *Roster) EarlierBoxes(most int) []string {
 	names := []string{}
 	for _, e := range r.Entries() {
-		if len(names) < most && !forms.Whole(e.Level) {
+		if len(names) < most && !forms.Complete(e.Level) {
 			names = append(names, e.Box)
 		}
 	}
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -222,7 +222,7 @@
 // readEvacuations asks the store which halls are evacuated, if that is not known well enough.
 func (d *Daemon) readEvacuations(ctx context.Context) {
 	asked := clock.Now()
-	if asked.Sub(d.directory.EvacuationsRead()) < d.evacuationsAge() {
+	if asked.Sub(d.directory.EvacuationsConfirmedAt()) < d.evacuationsAge() {
 		return
 	}
 	ctx, cancel := stall.WithLimits(ctx, storeLimits)
@@ -252,13 +252,13 @@
 func (d *Daemon) timing() directory.Timing {
 	apply := d.settings.Load().Bounds.Apply
 	return directory.Timing{
-		Wait:        watchWait,
-		Answer:      storeLimits.FirstByte,
-		AnswerMost:  storeLimits.Total,
-		Lag:         apply * 50 / 100,
-		Collect:     apply * 10 / 100,
-		Backoff:     apply * 3 / 100,
-		BackoffMost: apply * 60 / 100,
+		WatchWait:      watchWait,
+		AnswerTimeout:  storeLimits.FirstByte,
+		MaxAnswerTime:  storeLimits.Total,
+		MaxLag:         apply * 50 / 100,
+		BatchDelay:     apply * 10 / 100,
+		InitialBackoff: apply * 3 / 100,
+		MaxBackoff:     apply * 60 / 100,
 	}
 }
 
--- a/pkg/routerd/gauges.go
+++ b/pkg/routerd/gauges.go
@@ -32,7 +32,7 @@
 		byPart("headhill_belief_revision", "Revision of the store up to which this box knows a part.",
 			func(s directory.State) int64 { return int64(s.Revision) }),
 		byPart("headhill_store_misses", "Questions of a part that the store has not answered.",
-			func(s directory.State) int64 { return int64(s.Misses) }),
+			func(s directory.State) int64 { return int64(s.Failures) }),
 	}
 }
 
--- a/pkg/routerd/join.go
+++ b/pkg/routerd/join.go
@@ -81,7 +81,7 @@
 	wg.Go(func() { d.completeRoster(d.ctx) })
 	wg.Go(func() { d.checker.Run(d.ctx) })
 	wg.Go(func() {
-		d.directory.Follow(d.ctx, directory.Following{
+		d.directory.Follow(d.ctx, directory.FollowOptions{
 			Source: d.source, Providers: d.snapshots, Timing: d.timing(), Reader: d.roster.Reader,
 		})
 	})
--- a/pkg/routerd/status.go
+++ b/pkg/routerd/status.go
@@ -50,8 +50,8 @@
 	s, v, now := d.settings.Load(), d.directory.View(), clock.Now()
 	status := Status{
 		Box: s.Box.ID, Hall: s.Box.Hall, Version: version.String(), Ready: d.Ready(), Reader: d.roster.Reader(), Boxes: d.roster.Count(),
-		TableAgeMillis: millisSince(v.TableRead, now), ServersAgeMillis: millisSince(v.ServersRead, now),
-		EvacuatedHalls: d.directory.Evacuations().Halls, EvacuationsAgeMillis: millisSince(v.EvacuationsRead, now),
+		TableAgeMillis: millisSince(v.TableConfirmedAt, now), ServersAgeMillis: millisSince(v.ServersConfirmedAt, now),
+		EvacuatedHalls: d.directory.Evacuations().Halls, EvacuationsAgeMillis: millisSince(v.EvacuationsConfirmedAt, now),
 		FormsLevel: forms.Level, LowestFormsLevel: d.roster.LowestLevel(), EarlierBoxes: d.roster.EarlierBoxes(earlierBoxesMost),
 	}
 	if v.Table != nil {
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -91,7 +91,7 @@
 		if has {
 			table, err = applied(inForce, delta, address)
 		}
-		return directory.TableCopy{Table: table, Revision: k.revision, Changed: k.changed, Read: time.Now().Add(-k.age)}, err
+		return directory.TableCopy{Table: table, Revision: k.revision, Changed: k.changed, ConfirmedAt: time.Now().Add(-k.age)}, err
 	})
 }
 
@@ -124,7 +124,7 @@
 			err = &DamagedError{Address: address, Reason: "it holds no list"}
 		}
 		list.Revision, list.Changed, list.Evacuations = k.revision, k.changed, k.evacuations
-		list.Read = time.Now().Add(-k.age)
+		list.ConfirmedAt = time.Now().Add(-k.age)
 		return list, err
 	})
 }
@@ -282,8 +282,8 @@
 	if !ok || k.revision < q.least {
 		return known{}, false, &DamagedError{Address: address, Reason: "it does not say up to where it is known, or not as far as was asked"}
 	}
-	if path != pathBoxes && !forms.Whole(k.level) {
-		return known{}, false, &OlderBuildError{Address: address, Level: forms.Of(k.level)}
+	if path != pathBoxes && !forms.Complete(k.level) {
+		return known{}, false, &OlderBuildError{Address: address, Level: forms.EffectiveLevel(k.level)}
 	}
 	if resp.StatusCode == http.StatusNoContent {
 		return k, false, nil
--- a/pkg/snapshot/server.go
+++ b/pkg/snapshot/server.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return answer{}, err
 	}
-	a := answer{known: known{revision: c.Revision, changed: c.Changed, age: time.Since(c.Read)}}
+	a := answer{known: known{revision: c.Revision, changed: c.Changed, age: time.Since(c.ConfirmedAt)}}
 	if q.inForce == c.Table.Version {
 		return a, nil
 	}
@@ -167,13 +167,13 @@
 }
 
 func (s *Server) serveList(ctx context.Context, q question) (answer, error) {
-	head, err := s.directory.ListHead(ctx, q.least)
+	head, err := s.directory.ListMetadata(ctx, q.least)
 	if err != nil {
 		return answer{}, err
 	}
 	list, err := s.list.from(q.since, head.Revision, s.directory)
 	a := answer{body: list.body}
-	a.known = known{revision: list.revision, changed: max(head.Changed, list.changed), age: time.Since(head.Read), evacuations: head.Evacuations, since: list.since}
+	a.known = known{revision: list.revision, changed: max(head.Changed, list.changed), age: time.Since(head.ConfirmedAt), evacuations: head.Evacuations, since: list.since}
 	return a, err
 }
 
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -57,13 +57,13 @@
 	evacuations directory.Evacuations
 }
 
-func (s *source) ReadTable(context.Context) (directory.TableRead, error) {
-	return directory.TableRead{Table: s.table, Revision: s.revision, Changed: s.revision}, nil
+func (s *source) ReadTable(context.Context) (directory.TableResult, error) {
+	return directory.TableResult{Table: s.table, Revision: s.revision, Changed: s.revision}, nil
 }
 
-func (s *source) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableRead, error) {
+func (s *source) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableResult, error) {
 	<-ctx.Done()
-	return directory.TableRead{}, ctx.Err()
+	return directory.TableResult{}, ctx.Err()
 }
 
 func (s *source) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
@@ -85,9 +85,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		d.Follow(ctx, directory.Following{
+		d.Follow(ctx, directory.FollowOptions{
 			Source: s, Providers: n, Reader: func() bool { return false },
-			Timing: directory.Timing{Wait: time.Second, Answer: time.Second, Lag: time.Second, Backoff: time.Millisecond, BackoffMost: 10 * time.Millisecond},
+			Timing: directory.Timing{WatchWait: time.Second, AnswerTimeout: time.Second, MaxLag: time.Second, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond},
 		})
 		close(done)
 	}()
@@ -144,11 +144,11 @@
 	_, found := table.Table.OrganisationByKey("key")
 	assert.True(t, found)
 	assert.Equal(t, uint64(9), table.Revision)
-	_, err = third.ListHead(t.Context(), 9)
+	_, err = third.ListMetadata(t.Context(), 9)
 	require.NoError(t, err)
 	list := third.ListCopy()
 	assert.Equal(t, s.servers, list.Servers)
-	assert.WithinDuration(t, first.View().TableRead, table.Read, 5*time.Second)
+	assert.WithinDuration(t, first.View().TableConfirmedAt, table.ConfirmedAt, 5*time.Second)
 }
 
 // A box that has an earlier version is told only what has changed since.
@@ -313,7 +313,7 @@
 func TestChangesOfTheListAreSent(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(2000), revision: 9, evacuations: directory.Evacuations{Halls: []string{"hall, 1"}, Revision: 9}})
 	changed := routing.Server{ID: "i-0001", Service: "calls", Address: "192.0.2.1:1", Leaving: true}
-	d.Apply(directory.Delta{From: 9, To: 12, Events: []directory.ServerEvent{{Server: changed}}})
+	d.ApplyDelta(directory.Delta{From: 9, To: 12, Events: []directory.ServerEvent{{Server: changed}}})
 	address := serve(t, d).address
 	for range 2 {
 		list, err := client(time.Second, address).Servers(t.Context(), 9, 12)
@@ -376,8 +376,8 @@
 
 var errBroken = errors.New("the source is broken")
 
-func (brokenSource) ReadTable(context.Context) (directory.TableRead, error) {
-	return directory.TableRead{}, errBroken
+func (brokenSource) ReadTable(context.Context) (directory.TableResult, error) {
+	return directory.TableResult{}, errBroken
 }
 
 func (brokenSource) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
@@ -412,12 +412,12 @@
 	return directory.ServerChanges{Events: []directory.ServerEvent{{Server: routing.Server{ID: "new"}}}, Revision: 12}, nil
 }
 
-func (s *slowChange) ReadTable(ctx context.Context) (directory.TableRead, error) {
+func (s *slowChange) ReadTable(ctx context.Context) (directory.TableResult, error) {
 	if s.reads.Add(1) == 1 {
 		return s.source.ReadTable(ctx)
 	}
 	time.Sleep(s.after)
-	return directory.TableRead{Table: tableOf(8, 3), Revision: 12, Changed: 12}, nil
+	return directory.TableResult{Table: tableOf(8, 3), Revision: 12, Changed: 12}, nil
 }
 
 // boxReadingChanges is a box that takes a while to read a change of each part.
@@ -430,7 +430,7 @@
 // A box that lacks a new table waits some more for one that is reading it.
 func TestTableIsAwaitedWhereItIsBeingRead(t *testing.T) {
 	d := boxReadingChanges(t)
-	d.Noticed(directory.Notice{TableChanged: 12})
+	d.ApplyNotification(directory.Notification{TableChanged: 12})
 	c, err := client(100*time.Millisecond, serve(t, d).address).Table(t.Context(), tableOf(7, 3), 12)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(8), c.Table.Version)
@@ -439,7 +439,7 @@
 // A box that lacks a change waits some more for one that is reading it.
 func TestChangeIsAwaitedWhereItIsBeingRead(t *testing.T) {
 	d := boxReadingChanges(t)
-	d.Noticed(directory.Notice{ServersChanged: 12})
+	d.ApplyNotification(directory.Notification{ServersChanged: 12})
 	list, err := client(100*time.Millisecond, serve(t, d).address).Servers(t.Context(), 9, 12)
 	require.NoError(t, err)
 	require.NotNil(t, list.Delta)
