--- a/pkg/forms/formstest/formstest.go
+++ b/pkg/forms/formstest/formstest.go
@@ -1,5 +1,5 @@
-// Package formstest reads messages and records that earlier builds have written, which are kept in
-// testdata/forms, a folder a build.
+// Package formstest checks wire formats and reads the messages and records that earlier builds have
+// written, which are kept in testdata/forms with a directory for each build.
 package formstest
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Recorded are the files of all builds whose names match a pattern, by the build and the name.
+// Recorded returns the files of all builds whose names match a pattern, keyed by build and name.
 func Recorded(t testing.TB, pattern string) map[string][]byte {
 	t.Helper()
-	root := folder(t)
+	root := formsDir(t)
 	paths, err := filepath.Glob(filepath.Join(root, "*", pattern))
 	require.NoError(t, err)
-	require.NotEmpty(t, paths, "no build has recorded %s", pattern)
+	require.NotEmpty(t, paths, "no recorded file matches %s", pattern)
 	files := make(map[string][]byte, len(paths))
 	for _, path := range paths {
 		content, err := os.ReadFile(path)
@@ -29,8 +29,8 @@
 	return files
 }
 
-// folder is where the forms of all builds are kept.
-func folder(t testing.TB) string {
+// formsDir returns the directory of the recorded forms.
+func formsDir(t testing.TB) string {
 	_, self, _, ok := runtime.Caller(0)
 	require.True(t, ok)
 	return filepath.Join(filepath.Dir(self), "..", "..", "..", "testdata", "forms")
--- a/pkg/forms/formstest/shape.go
+++ b/pkg/forms/formstest/shape.go
@@ -15,11 +15,11 @@
 	"headhill.example/headhill/pkg/forms"
 )
 
-// writeShapes is the variable of the environment that has CheckShape write what it would compare.
+// writeShapes names the environment variable that makes CheckShape rewrite the recorded shapes.
 const writeShapes = "HEADHILL_WRITE_FORMS"
 
-// CheckShape requires that the fields of a form are those that are kept for this build's level. A form
-// that has changed needs a level of its own, so that boxes of different builds can tell.
+// CheckShape requires that the fields of a wire format match those recorded for this build's level.
+// A changed format needs a new level, so that boxes of different builds can tell them apart.
 func CheckShape(t *testing.T, name string, values ...any) {
 	t.Helper()
 	var b strings.Builder
@@ -31,16 +31,16 @@
 		}
 		writeType(&b, reflect.TypeOf(v), "")
 	}
-	path := filepath.Join(folder(t), "shapes", name+".txt")
+	path := filepath.Join(formsDir(t), "shapes", name+".txt")
 	if os.Getenv(writeShapes) != "" {
 		require.NoError(t, os.WriteFile(path, []byte(b.String()), 0o600))
 	}
-	kept, err := os.ReadFile(path)
+	recorded, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(kept), b.String(), "the form has changed: add a level to package forms if boxes act on what is new, and run this test with %s=1", writeShapes)
+	require.Equal(t, string(recorded), b.String(), "the wire format has changed: add a level to package forms if boxes act on the new fields, and run this test with %s=1", writeShapes)
 }
 
-// writeType lists the fields of a type and of what they hold, as JSON names them.
+// writeType lists the fields of a type and of nested types, with their JSON tags.
 func writeType(b *strings.Builder, t reflect.Type, indent string) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
@@ -57,7 +57,7 @@
 	}
 }
 
-// fieldsOf are the fields of a struct in order.
+// fieldsOf iterates over the fields of a struct in order.
 func fieldsOf(t reflect.Type) func(func(reflect.StructField) bool) {
 	return func(yield func(reflect.StructField) bool) {
 		for i := range t.NumField() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// writeMessage lists the fields of a protobuf message and of the messages that they hold.
+// writeMessage lists the fields of a protobuf message and of nested messages.
 func writeMessage(b *strings.Builder, d protoreflect.MessageDescriptor) {
 	fmt.Fprintf(b, "message %s\n", d.FullName())
 	for i := range d.Fields().Len() {
