--- a/pkg/directory/backoff.go
+++ b/pkg/directory/backoff.go
@@ -7,49 +7,49 @@
 
 func (f *follower) backoff(t Timing) time.Duration {
 	f.mu.Lock()
-	failures := f.failures
+	failures := f.consecutiveFailures
 	f.mu.Unlock()
-	return f.limit(t, backoff(t, failures))
+	return f.boundPause(t, backoff(t, failures))
 }
 
 const (
-	// hastyShare is the part of the usual time that a box which has nothing yet waits
-	// for an answer: the source may be back any moment, and what was sent to it while
-	// it was away is lost. Each patientEach-th time it waits for the whole time, as the
-	// source may be slow.
-	hastyShare  = 0.4
-	patientEach = 4
-	// hastyPauses is how many times the first pause such a box pauses at the most.
-	hastyPauses = 3
+	// loadingTimeoutShare is the fraction of the answer timeout that applies until a part is loaded:
+	// a request sent while the source was unavailable may be lost, so it is repeated early. Every
+	// fullTimeoutInterval-th attempt uses the whole timeout, in case the source is slow.
+	loadingTimeoutShare = 0.4
+	fullTimeoutInterval = 4
+	// maxLoadingBackoffs limits the backoff to this multiple of the initial one until a part is
+	// loaded.
+	maxLoadingBackoffs = 3
 )
 
-// patience is how long the beginning of an answer is awaited when the whole is read.
-func (f *follower) patience(t Timing) time.Duration {
+// answerTimeout returns how long to wait for the first byte of a full read.
+func (f *follower) answerTimeout(t Timing) time.Duration {
 	f.mu.Lock()
-	misses := f.misses
+	misses := f.totalFailures
 	f.mu.Unlock()
-	if f.there() || misses%patientEach == patientEach-1 {
+	if f.loaded() || misses%fullTimeoutInterval == fullTimeoutInterval-1 {
 		return t.AnswerTimeout
 	}
-	return time.Duration(hastyShare * float64(t.AnswerTimeout))
+	return time.Duration(loadingTimeoutShare * float64(t.AnswerTimeout))
 }
 
-// limit bounds a pause while there is nothing yet.
-func (f *follower) limit(t Timing, pause time.Duration) time.Duration {
-	if f.there() {
+// boundPause limits a pause until the part is loaded.
+func (f *follower) boundPause(t Timing, pause time.Duration) time.Duration {
+	if f.loaded() {
 		return pause
 	}
-	return min(pause, hastyPauses*t.InitialBackoff)
+	return min(pause, maxLoadingBackoffs*t.InitialBackoff)
 }
 
-// missed counts an answer that did not come.
-func (f *follower) missed() {
+// countFailure counts a failed request.
+func (f *follower) countFailure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.misses++
+	f.totalFailures++
 }
 
-// backoff is the pause after some failures in a row, with jitter.
+// backoff returns the jittered pause after a number of consecutive failures.
 func backoff(t Timing, failures int) time.Duration {
 	d := min(t.InitialBackoff<<min(failures, 8), t.MaxBackoff)
 	return d/2 + rand.N(d/2+1)
--- a/pkg/directory/bench_test.go
+++ b/pkg/directory/bench_test.go
@@ -10,7 +10,7 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// BenchmarkChange is what one change of a list of servers costs each box.
+// BenchmarkChange measures one change of the list of servers at one box.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{9845, 19690} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -19,7 +19,7 @@
 			for i := range n {
 				list = append(list, serverIn("east", i))
 			}
-			d.takeList(list, 1, time.Now())
+			d.applyList(list, 1, time.Now())
 			b.ResetTimer()
 			for i := range b.N {
 				s := serverIn("east", i%n)
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -17,20 +17,20 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// fakeSource is a source whose whole history is known.
+// fakeSource is a Source whose history is a list of events.
 type fakeSource struct {
-	mu     sync.Mutex
-	events []ServerEvent // event i made revision i+1
-	calls  int           // those that count against rates
-	asked  int           // all pages
-	// pageSize bounds a page, zero for one page; refuse tells which calls fail.
+	mu        sync.Mutex
+	events    []ServerEvent // event i creates revision i+2
+	calls     int           // calls that count against the rate limit
+	pageReads int           // page reads, including stale ones
+	// pageSize limits the servers per page, zero for a single page.
 	pageSize int
-	refuse   func(call int) bool
-	// behind is how many events stale pages lack.
-	behind int
-	// forgotten is the revision up to which history is gone.
-	forgotten uint64
-	// evacuations are the halls whose servers get nothing.
+	// reject reports whether a page read fails.
+	reject func(call int) bool
+	// staleLag is the number of events by which stale pages lag behind.
+	staleLag int
+	// compacted is the revision up to which the history is gone.
+	compacted   uint64
 	evacuations Evacuations
 }
 
@@ -52,16 +52,16 @@
 func (s *fakeSource) ReadServers(_ context.Context, from string, stale bool) (ServersPage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.pageReads++
 	if !stale {
 		s.calls++
 	}
-	if s.refuse != nil && s.refuse(s.asked) {
+	if s.reject != nil && s.reject(s.pageReads) {
 		return ServersPage{}, errors.New("too many calls")
 	}
 	events := s.events
 	if stale {
-		events = events[:max(0, len(events)-s.behind)]
+		events = events[:max(0, len(events)-s.staleLag)]
 	}
 	list := replay(events)
 	if s.pageSize == 0 || len(list) == 0 {
@@ -76,10 +76,9 @@
 	return page, nil
 }
 
-// Many boxes that start at once are refused most of their calls: a page that is
-// refused must not cost those before it.
+// A rejected page read must not discard the pages read before.
 func TestLongListIsReadThoughCallsAreRefused(t *testing.T) {
-	source := &fakeSource{pageSize: 10, refuse: func(call int) bool { return call%3 != 0 }}
+	source := &fakeSource{pageSize: 10, reject: func(call int) bool { return call%3 != 0 }}
 	for i := range 200 {
 		source.events = append(source.events, ServerEvent{Server: routing.Server{ID: fmt.Sprint(i), Service: "s"}})
 	}
@@ -88,9 +87,10 @@
 	})
 }
 
-// Pages after the first are stale: what happened since is read as changes.
+// Pages after the first may be stale; changes since then must be fetched with a watch, or by reading
+// the pages again if the history is compacted.
 func TestStalePagesAreBroughtUpToDate(t *testing.T) {
-	source := &fakeSource{pageSize: 10, behind: 7}
+	source := &fakeSource{pageSize: 10, staleLag: 7}
 	for i := range 60 {
 		source.events = append(source.events, ServerEvent{Server: routing.Server{ID: fmt.Sprintf("%03d", i), Service: "s"}})
 	}
@@ -106,11 +106,11 @@
 			want[s.ID] = s
 		}
 		assert.Equal(t, want, d.listed())
-		assert.Equal(t, source.revision(), d.list.known().revision)
+		assert.Equal(t, source.revision(), d.list.position().revision)
 	}
 	withFollower(t, source, check)
-	assert.LessOrEqual(t, source.calls, 3, "one page and the changes count")
-	source.forgotten = source.revision()
+	assert.LessOrEqual(t, source.calls, 3, "only one page and the watch count against the rate limit")
+	source.compacted = source.revision()
 	withFollower(t, source, check)
 }
 
@@ -125,13 +125,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if after < s.forgotten {
+	if after < s.compacted {
 		return ServerChanges{}, ErrHistoryLost
 	}
 	return ServerChanges{Events: append([]ServerEvent(nil), s.events[after-1:]...), Revision: uint64(len(s.events) + 1)}, ctx.Err()
 }
 
-// replay is the list after some events.
+// replay returns the list after some events.
 func replay(events []ServerEvent) []routing.Server {
 	var list []routing.Server
 	for _, e := range events {
@@ -161,8 +161,8 @@
 	return m
 }
 
-// Deltas come in any order, some twice, some never: what is believed is always what
-// the list was at the revision that the belief names.
+// Deltas may be reordered, repeated or lost; the list must always be that of the source at the
+// current position.
 func TestDeltasNeverUndoNewerOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []ServerEvent
@@ -176,12 +176,12 @@
 			})
 		}
 		d := New(log.NewNopLogger())
-		d.list.advance(known{revision: 1})
+		d.list.advance(position{revision: 1})
 		for range rapid.IntRange(0, 40).Draw(t, "deltas") {
 			from := rapid.IntRange(0, len(events)).Draw(t, "from")
 			to := rapid.IntRange(from, len(events)).Draw(t, "to")
 			d.ApplyDelta(Delta{From: uint64(from + 1), To: uint64(to + 1), Events: events[from:to]})
-			at := int(d.list.known().revision) - 1
+			at := int(d.list.position().revision) - 1
 			want := make(map[string]routing.Server)
 			for _, s := range replay(events[:at]) {
 				want[s.ID] = s
@@ -203,14 +203,14 @@
 	return Timing{WatchWait: 20 * time.Millisecond, AnswerTimeout: time.Second, MaxLag: 2 * time.Second, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond}
 }
 
-// withFollower runs f with a directory that has loaded a source. Its box is no reader.
+// withFollower calls f with a directory of a non-reader that has loaded a source.
 func withFollower(t *testing.T, source Source, f func(context.Context, *Directory)) {
 	t.Helper()
 	d := New(log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		d.Follow(ctx, alone(source, testTiming()))
+		d.Follow(ctx, standalone(source, testTiming()))
 		close(done)
 	}()
 	assert.Eventually(t, d.Loaded, 20*time.Second, time.Millisecond)
@@ -219,7 +219,7 @@
 	<-done
 }
 
-// A box that is no reader asks nothing until it hears of a change.
+// A box that is no reader must not query the source until it learns of a change.
 func TestOnlyReadersWatch(t *testing.T) {
 	source := &fakeSource{}
 	withFollower(t, source, func(_ context.Context, d *Directory) {
@@ -231,11 +231,11 @@
 		source.mu.Unlock()
 		d.ApplyCheck(Check{AskedAt: time.Now(), Revision: 2, TableChanged: 1, ServersChanged: 2})
 		assert.Eventually(t, func() bool { return len(d.listed()) == 1 }, 5*time.Second, time.Millisecond)
-		assert.Equal(t, uint64(2), d.table.known().revision, "what has not changed is confirmed without a question")
+		assert.Equal(t, uint64(2), d.table.position().revision, "an unchanged part is confirmed without a query")
 	})
 }
 
-func TestVerifyBringsBothPartsUpToARevision(t *testing.T) {
+func TestVerifyAdvancesBothParts(t *testing.T) {
 	source := &fakeSource{}
 	withFollower(t, source, func(ctx context.Context, d *Directory) {
 		source.mu.Lock()
@@ -247,28 +247,28 @@
 		assert.Equal(t, uint64(1), check.TableChanged)
 		assert.Len(t, d.listed(), 1)
 		_, ok = d.Verify(ctx, 99, time.Now(), Timing{MaxLag: 50 * time.Millisecond})
-		assert.False(t, ok, "others are not told of what was not read")
+		assert.False(t, ok, "no check is returned for a revision that was not reached")
 	})
 }
 
-func TestAgesAreThoseOfTheQuestion(t *testing.T) {
+func TestConfirmationTimeIsThatOfTheRequest(t *testing.T) {
 	d := New(log.NewNopLogger())
-	asked := time.Now()
-	before := asked.Add(-time.Minute)
+	askedAt := time.Now()
+	before := askedAt.Add(-time.Minute)
 	d.setTable(routing.NewTable(routing.Content{Version: 1}), before)
 	d.setServers(nil, before)
-	d.list.advance(known{revision: 5})
-	d.table.advance(known{revision: 5})
-	d.ApplyCheck(Check{AskedAt: asked, Revision: 7, TableChanged: 5, ServersChanged: 6})
+	d.list.advance(position{revision: 5})
+	d.table.advance(position{revision: 5})
+	d.ApplyCheck(Check{AskedAt: askedAt, Revision: 7, TableChanged: 5, ServersChanged: 6})
 	v := d.View()
-	assert.Equal(t, asked, v.TableConfirmedAt)
-	assert.Equal(t, before, v.ServersConfirmedAt, "a part that lacks a change is not confirmed")
+	assert.Equal(t, askedAt, v.TableConfirmedAt)
+	assert.Equal(t, before, v.ServersConfirmedAt, "a part that is behind is not confirmed")
 	d.ApplyCheck(Check{AskedAt: before, Revision: 7, TableChanged: 5, ServersChanged: 5})
-	assert.Equal(t, asked, d.View().TableConfirmedAt, "an older check makes nothing older")
+	assert.Equal(t, askedAt, d.View().TableConfirmedAt, "an older check does not move the confirmation time back")
 }
 
-// Entries lapse while the source is away, though their servers are alive: those are
-// back soon after, and used meanwhile. One that stays away is gone.
+// Entries can expire during an outage of the source while their servers are alive. Those servers
+// must stay in use until the recovery grace ends.
 func TestEntriesThatLapsedInAnOutageAreUsedForAMoment(t *testing.T) {
 	now := time.Now()
 	list := []routing.Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "leaving", Service: "s", Leaving: true}}
@@ -279,8 +279,8 @@
 		return ids
 	}
 	for name, c := range map[string]struct {
-		away time.Duration
-		want []string
+		outage time.Duration
+		want   []string
 	}{
 		"in an outage": {MinOutage + time.Second, []string{"a", "b"}},
 		"otherwise":    {time.Second, []string{"a"}},
@@ -288,11 +288,11 @@
 		t.Run(name, func(t *testing.T) {
 			d := New(log.NewNopLogger())
 			d.setServers(list, now)
-			back := now.Add(c.away)
-			gone := []ServerEvent{{Server: routing.Server{ID: "b"}, Removed: true}, {Server: routing.Server{ID: "leaving"}, Removed: true}}
-			d.changeServers(gone, back)
-			assert.Equal(t, c.want, candidates(d, back.Add(lapsedFor-time.Millisecond)))
-			assert.Equal(t, []string{"a"}, candidates(d, back.Add(lapsedFor)))
+			recoveredAt := now.Add(c.outage)
+			removals := []ServerEvent{{Server: routing.Server{ID: "b"}, Removed: true}, {Server: routing.Server{ID: "leaving"}, Removed: true}}
+			d.changeServers(removals, recoveredAt)
+			assert.Equal(t, c.want, candidates(d, recoveredAt.Add(recoveryGrace-time.Millisecond)))
+			assert.Equal(t, []string{"a"}, candidates(d, recoveredAt.Add(recoveryGrace)))
 		})
 	}
 }
--- a/pkg/directory/doc.go
+++ b/pkg/directory/doc.go
@@ -1,4 +1,4 @@
-// Package directory holds what this box believes of the routing table and of the
-// backend servers, and follows the source that both come from. Every belief has a
-// version and an age.
+// Package directory holds a box's copy of the routing table and of the list of backend servers, and
+// keeps both in sync with their source. Each part has a revision and the time of its last
+// confirmation.
 package directory
--- a/pkg/directory/evacuations.go
+++ b/pkg/directory/evacuations.go
@@ -11,15 +11,14 @@
 	"headhill.example/headhill/pkg/clock"
 )
 
-// Evacuations are the halls whose servers are to get nothing, as the source had them at a revision.
+// Evacuations is the set of halls whose servers must not get work, at a revision of the source.
 type Evacuations struct {
 	Halls []string `json:"halls"`
-	// Revision is that of the source; zero if the halls were never read.
+	// Revision is the revision of the source; zero if the halls were never read.
 	Revision uint64 `json:"revision"`
 }
 
-// set is the halls for looking up.
-func (e Evacuations) set() map[string]bool {
+func (e Evacuations) hallSet() map[string]bool {
 	halls := make(map[string]bool, len(e.Halls))
 	for _, hall := range e.Halls {
 		halls[hall] = true
@@ -27,20 +26,20 @@
 	return halls
 }
 
-// Evacuations are the halls that this box knows to be evacuated. Callers must not change the list.
+// Evacuations returns the evacuated halls. The caller must not modify them.
 func (d *Directory) Evacuations() Evacuations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.evacuations
 }
 
-// EvacuationsConfirmedAt is when the source last confirmed which halls are evacuated.
+// EvacuationsConfirmedAt returns when the source last confirmed the evacuated halls.
 func (d *Directory) EvacuationsConfirmedAt() time.Time { return d.View().EvacuationsConfirmedAt }
 
-// SetEvacuations takes in which halls are evacuated, as the source said when it was asked. All of
-// them are told each time, so that what is lost or comes late does no harm: the highest revision
-// holds. It returns whether that changes anything.
-func (d *Directory) SetEvacuations(e Evacuations, asked time.Time) bool {
+// SetEvacuations replaces the set of evacuated halls, which the source returned at askedAt, and
+// reports whether it changed. Sets of an older revision are ignored, so loss and reordering are
+// harmless.
+func (d *Directory) SetEvacuations(e Evacuations, askedAt time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.Revision == 0 || e.Revision < d.evacuations.Revision {
@@ -49,33 +48,34 @@
 	before := d.evacuations
 	d.evacuations = e
 	v := *d.view.Load()
-	v.EvacuationsConfirmedAt = latest(v.EvacuationsConfirmedAt, asked)
-	changed := !maps.Equal(before.set(), e.set())
+	v.EvacuationsConfirmedAt = laterOf(v.EvacuationsConfirmedAt, askedAt)
+	changed := !maps.Equal(before.hallSet(), e.hallSet())
 	if changed {
-		v.takenBack = takenBack(v.takenBack, before, e, clock.Now())
-		d.logEvacuations(before, e, asked)
+		v.restored = updateRestored(v.restored, before, e, clock.Now())
+		d.logEvacuations(before, e, askedAt)
 	}
 	d.view.Store(&v)
 	if changed && !v.ServersConfirmedAt.IsZero() {
-		d.publishServers(v.ServersConfirmedAt)
+		d.rebuildPools(v.ServersConfirmedAt)
 	}
 	return changed
 }
 
-func (d *Directory) logEvacuations(before, now Evacuations, asked time.Time) {
-	_ = level.Info(d.logger).Log("msg", "halls evacuated", "halls", strings.Join(now.Halls, ","), "before", strings.Join(before.Halls, ","),
-		"revision", now.Revision, "age_ms", clock.Since(asked).Milliseconds(), "outcome", "their servers get nothing new")
+func (d *Directory) logEvacuations(before, now Evacuations, askedAt time.Time) {
+	_ = level.Info(d.logger).Log("msg", "evacuated halls changed", "halls", strings.Join(now.Halls, ","), "before", strings.Join(before.Halls, ","),
+		"revision", now.Revision, "age_ms", clock.Since(askedAt).Milliseconds(), "outcome", "servers in these halls get no new requests")
 }
 
-// takenBackKept is how long a hall counts as one that was taken back: longer than any server of it
-// warms up.
-const takenBackKept = 5 * time.Minute
+// restoredRetention is how long after the end of its evacuation a hall counts as restored. It
+// exceeds the warm-up of any server.
+const restoredRetention = 5 * time.Minute
 
-// takenBack adds to the halls that were taken back, with the times, those that are now.
-func takenBack(earlier map[string]time.Time, before, now Evacuations, at time.Time) map[string]time.Time {
+// updateRestored returns the restored halls with the time of their restoration, after a change of
+// the evacuated halls.
+func updateRestored(earlier map[string]time.Time, before, now Evacuations, at time.Time) map[string]time.Time {
 	halls := make(map[string]time.Time)
 	for hall, since := range earlier {
-		if at.Sub(since) < takenBackKept {
+		if at.Sub(since) < restoredRetention {
 			halls[hall] = since
 		}
 	}
--- a/pkg/directory/evacuations_test.go
+++ b/pkg/directory/evacuations_test.go
@@ -25,8 +25,8 @@
 	return halls
 }
 
-// withHalls is a directory that knows two servers in each of three halls.
-func withHalls(now time.Time) *Directory {
+// withHalls returns a directory with two servers in each of three halls.
+func directoryWithHalls(now time.Time) *Directory {
 	d := New(log.NewNopLogger())
 	var list []routing.Server
 	for _, hall := range []string{"east", "north", "west"} {
@@ -38,42 +38,42 @@
 
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	now := time.Now()
-	d := withHalls(now)
+	d := directoryWithHalls(now)
 	assert.True(t, d.SetEvacuations(Evacuations{Halls: []string{"east"}, Revision: 7}, now))
 	assert.Equal(t, map[string]int{"north": 2, "west": 2}, hallsOf(d.View().Candidates("models", now, time.Second)))
-	assert.Equal(t, map[string]int{"east": 2}, hallsOf(d.View().Draining("models")), "caches can still be taken")
-	assert.Equal(t, map[string]int{"north": 2, "west": 2}, hallsOf(d.View().Listed("models")), "no room for orders")
+	assert.Equal(t, map[string]int{"east": 2}, hallsOf(d.View().Draining("models")), "caches can still be transferred from draining servers")
+	assert.Equal(t, map[string]int{"north": 2, "west": 2}, hallsOf(d.View().Listed("models")), "evacuated servers do not count as capacity")
 
-	// A server that is listed meanwhile, and one that the list loses.
+	// A server added during the evacuation, and one removed.
 	d.changeServers([]ServerEvent{{Server: serverIn("east", 2)}, {Server: serverIn("east", 0), Removed: true}}, now)
 	assert.NotContains(t, hallsOf(d.View().Candidates("models", now, time.Second)), "east")
 
-	// All halls: no server is left, also none that the list has just lost.
+	// With all halls evacuated there are no candidates, not even removed servers within their grace.
 	d.SetEvacuations(Evacuations{Halls: []string{"east", "north", "west"}, Revision: 8}, now)
 	d.changeServers([]ServerEvent{{Server: serverIn("west", 0), Removed: true}}, now)
 	assert.Empty(t, d.View().Candidates("models", now, time.Second))
 
-	// What comes late says nothing.
+	// An older revision is ignored.
 	assert.False(t, d.SetEvacuations(Evacuations{Revision: 7}, now))
 	assert.Empty(t, d.View().Candidates("models", now, time.Second))
 
-	// Taken back, the servers may have turned cold.
-	limited := routing.WarmUp{Duration: 3 * time.Second, PerSecond: 8}
+	// Servers of a restored hall may have become cold.
+	warmUp := routing.WarmUp{Duration: 3 * time.Second, PerSecond: 8}
 	assert.True(t, d.SetEvacuations(Evacuations{Halls: []string{"east"}, Revision: 9}, now))
 	for _, s := range d.View().Candidates("models", now, 0) {
 		assert.NotEqual(t, "east", s.Hall)
-		assert.WithinDuration(t, time.Now().Add(limited.Duration), d.View().WarmUpEnd(&s, limited), time.Second)
+		assert.WithinDuration(t, time.Now().Add(warmUp.Duration), d.View().WarmUpEnd(&s, warmUp), time.Second)
 	}
-	untouched := serverIn("east", 1)
-	assert.Zero(t, d.View().WarmUpEnd(&untouched, limited))
+	unaffected := serverIn("east", 1)
+	assert.Zero(t, d.View().WarmUpEnd(&unaffected, warmUp))
 }
 
-// Whatever order words of evacuations, servers and whole lists come in, candidates are those of the
-// halls that the highest revision leaves.
+// Whatever the order of evacuations, server changes and full lists, no candidate may stand in a hall
+// that is evacuated at the highest revision.
 func TestEvacuationsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		d := withHalls(now)
+		d := directoryWithHalls(now)
 		halls := []string{"east", "north", "west"}
 		var highest Evacuations
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -81,7 +81,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				e := Evacuations{Halls: rapid.SliceOfNDistinct(rapid.SampledFrom(halls), 0, 3, rapid.ID).Draw(t, "halls"), Revision: rapid.Uint64Range(0, 20).Draw(t, "revision")}
-				// One revision says one thing.
+				// A revision has only one set of halls.
 				if e.Revision == highest.Revision {
 					continue
 				}
@@ -98,8 +98,8 @@
 			}
 			for _, grace := range []time.Duration{0, time.Second} {
 				for in := range hallsOf(d.View().Candidates("models", now, grace)) {
-					if highest.set()[in] {
-						t.Fatalf("a candidate stands in the evacuated hall %s, evacuated are %v", in, highest.Halls)
+					if highest.hallSet()[in] {
+						t.Fatalf("candidate in evacuated hall %s; evacuated halls: %v", in, highest.Halls)
 					}
 				}
 			}
@@ -107,7 +107,7 @@
 	})
 }
 
-// A box that learns the list from another one learns with it which halls are evacuated.
+// A box that copies the list from another box must also receive the evacuated halls.
 func TestStartingBoxLearnsEvacuations(t *testing.T) {
 	source := &fakeSource{evacuations: Evacuations{Halls: []string{"east"}, Revision: 1}}
 	for _, hall := range []string{"east", "west"} {
@@ -121,8 +121,8 @@
 	})
 }
 
-// Servers that warm up say for how long; that counts from when the entry was read.
-func TestWarmUpCountsFromTheEntry(t *testing.T) {
+// The remaining warm-up of an entry counts from when the entry was read.
+func TestWarmUpCountsFromEntryRead(t *testing.T) {
 	now := time.Now()
 	d := New(log.NewNopLogger())
 	cold := serverIn("east", 0)
@@ -133,7 +133,7 @@
 	assert.Zero(t, v.WarmUpEnd(&warm, w))
 	assert.Equal(t, now.Add(3*time.Second), v.WarmUpEnd(&cold, w))
 
-	// A warm server turns cold again at any moment, and says that it has warmed up.
+	// A warm server may report a new warm-up, and later its end.
 	warm.WarmUpRemaining = time.Second
 	d.changeServers([]ServerEvent{{Server: warm}}, now.Add(time.Minute))
 	assert.Equal(t, now.Add(time.Minute+time.Second), d.View().WarmUpEnd(&warm, w))
--- a/pkg/directory/follow.go
+++ b/pkg/directory/follow.go
@@ -13,104 +13,101 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// Timing bounds how old the belief may grow.
+// Timing bounds the staleness of the directory.
 type Timing struct {
-	// WatchWait is how long a watch may stay silent.
+	// WatchWait is the longest time a watch waits for a change.
 	WatchWait time.Duration
-	// AnswerTimeout is how long the source may take to begin an answer, beyond a watch's wait,
-	// and how long an answer may stand still; MaxAnswerTime bounds a whole answer.
+	// AnswerTimeout is how long the source may take to send the first byte, beyond a watch's wait,
+	// and how long it may pause between bytes. MaxAnswerTime bounds the whole answer.
 	AnswerTimeout time.Duration
 	MaxAnswerTime time.Duration
-	// MaxLag is how long both parts may take to reach a revision that a check has
-	// seen.
+	// MaxLag bounds the time in which both parts have to reach the revision of a check.
 	MaxLag time.Duration
-	// BatchDelay is how long changes are gathered before the next watch begins, so
-	// that many at once do not cost a call each.
+	// BatchDelay is the pause after a change before the next watch, so that changes in quick
+	// succession share a call.
 	BatchDelay time.Duration
-	// InitialBackoff is the first pause after a failure; MaxBackoff bounds its growth.
+	// InitialBackoff is the pause after the first failure; MaxBackoff bounds its growth.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
 }
 
-// limits bounds an answer of the source that begins within a time.
-func (t Timing) limits(first time.Duration) stall.Limits {
-	return stall.Limits{FirstByte: first, Idle: t.AnswerTimeout, Total: t.MaxAnswerTime}
+// stallLimits returns the limits of an answer whose first byte is due within a time.
+func (t Timing) stallLimits(firstByte time.Duration) stall.Limits {
+	return stall.Limits{FirstByte: firstByte, Idle: t.AnswerTimeout, Total: t.MaxAnswerTime}
 }
 
-// FollowOptions is what a directory follows.
+// FollowOptions configures Follow.
 type FollowOptions struct {
 	Source Source
-	// Providers are asked before the source by boxes that are no readers.
+	// Providers are the peers that a box which is no reader asks before the source.
 	Providers Providers
 	Timing    Timing
-	// Reader tells whether this box reads the source for others.
+	// Reader reports whether this box reads the source on behalf of others.
 	Reader func() bool
 }
 
-// Follow keeps the belief up to date until ctx ends. Only a reader watches the
-// source all the time; other boxes are told of changes, and ask when they are told
-// of a revision that they lack.
-func (d *Directory) Follow(ctx context.Context, f FollowOptions) {
-	t := f.Timing
+// Follow keeps the directory up to date until ctx ends. Only readers watch the source continuously.
+// Other boxes receive notifications, and query peers or the source if they miss a revision.
+func (d *Directory) Follow(ctx context.Context, opts FollowOptions) {
+	t := opts.Timing
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		d.table.run(ctx, t, &tablePart{directory: d, source: f.Source, providers: f.Providers, timing: t}, f.Reader)
+		d.table.run(ctx, t, &tablePart{directory: d, source: opts.Source, providers: opts.Providers, timing: t}, opts.Reader)
 	})
 	wg.Go(func() {
-		d.list.run(ctx, t, &serversPart{directory: d, source: f.Source, providers: f.Providers, timing: t}, f.Reader)
+		d.list.run(ctx, t, &serversPart{directory: d, source: opts.Source, providers: opts.Providers, timing: t}, opts.Reader)
 	})
 	wg.Wait()
 }
 
-// errInterrupted ends a watch that is begun anew.
-var errInterrupted = errors.New("the watch is begun anew")
+// errInterrupted is the cancellation cause of a watch that is restarted to fetch a newer revision.
+var errInterrupted = errors.New("watch cancelled: a newer revision is known")
 
-// roleCheck is how often a box looks whether it has become a reader.
-const roleCheck = 500 * time.Millisecond
+// roleCheckInterval is how often a box checks whether it has become a reader.
+const roleCheckInterval = 500 * time.Millisecond
 
-// run reads the whole until it succeeds, then follows changes, and begins anew when
-// history is lost.
+// run reads the whole part, then follows its changes, and reads it again when the source has
+// compacted the history.
 func (f *follower) run(ctx context.Context, t Timing, p part, reader func() bool) {
-	defer f.setAsking(false)
+	defer f.setQuerying(false)
 	for ctx.Err() == nil {
-		if f.watchable() && !f.mustAsk(reader) {
-			f.setAsking(false)
-			f.rest(ctx)
+		if f.canWatch() && !f.needsQuery(reader) {
+			f.setQuerying(false)
+			f.waitForWork(ctx)
 			continue
 		}
-		f.setAsking(true)
-		err := f.ask(ctx, t, p, reader)
+		f.setQuerying(true)
+		err := f.query(ctx, t, p, reader)
 		interrupted := errors.Is(err, errInterrupted)
 		if interrupted {
 			f.logInterrupted(err)
 		} else {
-			f.heard(err)
+			f.recordResult(err)
 		}
 		switch {
-		case needsWhole(err):
-			f.forget()
+		case needsFullRead(err):
+			f.requireFullRead()
 		case interrupted:
 		case err == nil:
-			f.collect(ctx, t)
+			f.batchChanges(ctx, t)
 		default:
-			// A watch that broke goes on from its revision: nothing is lost, and
-			// lost history is told.
+			// The watch resumes at its revision; the source reports if that has been compacted.
 			pause.For(ctx, f.backoff(t))
 		}
 	}
 }
 
-// mustAsk tells whether the source is to be asked now: by a reader always, by
-// others until the part is there, and when it is known to lack something.
-func (f *follower) mustAsk(reader func() bool) bool {
+// needsQuery reports whether to query the source now: always for a reader, for others while the part
+// is not loaded, after a failure, or if a newer revision is known to exist.
+func (f *follower) needsQuery(reader func() bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open.wanted > 0 || f.failures > 0 || !f.there() || reader()
+	return f.pending.revision > 0 || f.consecutiveFailures > 0 || !f.loaded() || reader()
 }
 
-// rest waits until something is to be done.
-func (f *follower) rest(ctx context.Context) {
-	timer := time.NewTimer(roleCheck)
+// waitForWork blocks until the follower is woken or the role has to be checked.
+func (f *follower) waitForWork(ctx context.Context) {
+	timer := time.NewTimer(roleCheckInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -119,52 +116,52 @@
 	}
 }
 
-// ask asks other boxes or the source once.
-func (f *follower) ask(ctx context.Context, t Timing, p part, reader func() bool) error {
+// query makes one request to the providers or to the source.
+func (f *follower) query(ctx context.Context, t Timing, p part, reader func() bool) error {
 	target := f.target()
-	if f.asksProviders(target, reader) && f.askProviders(ctx, p, target) {
+	if f.shouldAskProviders(target, reader) && f.queryProviders(ctx, p, target) {
 		return nil
 	}
 	var err error
-	if f.watchable() && !f.watchesFail() && !p.readsWhole(target) {
+	if f.canWatch() && !f.watchesStall() && !p.prefersFullRead(target) {
 		err = f.watchOnce(ctx, t, p)
-		f.notBegun(target, err)
+		f.recordStall(target, err)
 	} else {
 		err = f.readOnce(ctx, p)
 	}
 	if err == nil {
-		f.met(target)
+		f.resolve(target)
 	}
 	return err
 }
 
 func (f *follower) readOnce(ctx context.Context, p part) error {
-	k, err := p.read(ctx, clock.Now())
+	pos, err := p.read(ctx, clock.Now())
 	if err != nil {
 		return err
 	}
-	f.advance(k)
-	f.wasRead()
+	f.advance(pos)
+	f.recordFullRead()
 	return nil
 }
 
 func (f *follower) watchOnce(ctx context.Context, t Timing, p part) error {
 	ctx, wait, end := f.beginWatch(ctx, t)
 	defer end()
-	k, err := p.watch(ctx, f.known().revision, wait)
+	pos, err := p.watch(ctx, f.position().revision, wait)
 	if err != nil {
 		return withCause(ctx, err)
 	}
-	f.advance(k)
+	f.advance(pos)
 	return nil
 }
 
-// needsWhole tells whether an error says that the whole has to be read.
-func needsWhole(err error) bool {
+// needsFullRead reports whether an error requires a full read.
+func needsFullRead(err error) bool {
 	return errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrHistoryTooLong)
 }
 
-// withCause adds why a context ended to an error that does not tell it.
+// withCause adds the cancellation cause of a context to an error that lacks it.
 func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return errors.Join(err, cause)
@@ -172,62 +169,62 @@
 	return err
 }
 
-// briefly is the wait of a watch that only asks what has changed so far.
-const briefly = time.Millisecond
+// pollWait is the wait of a watch that only fetches the changes made so far.
+const pollWait = time.Millisecond
 
-// beginWatch returns the context and the wait of a watch. Only a watch that waits for the
-// next change is ended for news; others answer at once, and are let finish.
+// beginWatch returns the context and the wait of a watch. Only a watch that waits for the next
+// change is cancelled when a newer revision becomes known; others return at once.
 func (f *follower) beginWatch(ctx context.Context, t Timing) (context.Context, time.Duration, func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.open.wanted > 0 || f.failures > 0 {
-		ctx, end := stall.WithLimits(ctx, t.limits(briefly+t.AnswerTimeout))
-		return ctx, briefly, end
+	if f.pending.revision > 0 || f.consecutiveFailures > 0 {
+		ctx, end := stall.WithLimits(ctx, t.stallLimits(pollWait+t.AnswerTimeout))
+		return ctx, pollWait, end
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	ctx, end := stall.WithLimits(ctx, t.limits(t.WatchWait+t.AnswerTimeout))
-	w := &waitingWatch{ctx: ctx, cancel: cancel}
-	f.waiting = w
+	ctx, end := stall.WithLimits(ctx, t.stallLimits(t.WatchWait+t.AnswerTimeout))
+	w := &longPoll{ctx: ctx, cancel: cancel}
+	f.longPoll = w
 	return ctx, t.WatchWait, func() {
-		f.endWaiting(w)
+		f.endLongPoll(w)
 		end()
 		cancel(nil)
 	}
 }
 
-// collect pauses after a change.
-func (f *follower) collect(ctx context.Context, t Timing) {
-	if changed := f.known().changed; changed != f.collected {
-		f.collected = changed
+// batchChanges pauses after a change, so that the next watch returns several at once.
+func (f *follower) batchChanges(ctx context.Context, t Timing) {
+	if changed := f.position().changed; changed != f.lastBatched {
+		f.lastBatched = changed
 		pause.For(ctx, t.BatchDelay)
 	}
 }
 
-// heard notes whether the source answered, and logs when it is lost or regained.
-func (f *follower) heard(err error) {
+// recordResult counts failures and logs when the source becomes unavailable and when it recovers.
+func (f *follower) recordResult(err error) {
 	f.mu.Lock()
-	before := f.failures
-	f.failures++
-	if err == nil || needsWhole(err) {
-		f.failures = 0
+	before := f.consecutiveFailures
+	f.consecutiveFailures++
+	if err == nil || needsFullRead(err) {
+		f.consecutiveFailures = 0
 	} else {
-		f.misses++
+		f.totalFailures++
 	}
 	f.mu.Unlock()
-	revision := f.known().revision
+	revision := f.position().revision
 	switch {
-	case needsWhole(err):
-		_ = level.Info(f.logger).Log("msg", "history lost", "part", f.name, "revision", revision, "err", err, "outcome", "reading the whole again")
+	case needsFullRead(err):
+		_ = level.Info(f.logger).Log("msg", "source history unavailable", "part", f.name, "revision", revision, "err", err, "outcome", "starting a full read")
 	case err != nil && before == 0:
-		_ = level.Warn(f.logger).Log("msg", "source lost", "part", f.name, "revision", revision, "err", err, "outcome", "the belief stays as it is")
+		_ = level.Warn(f.logger).Log("msg", "source unavailable", "part", f.name, "revision", revision, "err", err, "outcome", "keeping the last known state")
 	case err != nil:
-		_ = level.Info(f.logger).Log("msg", "source still lost", "part", f.name, "revision", revision, "failures", before+1, "err", err)
+		_ = level.Info(f.logger).Log("msg", "source still unavailable", "part", f.name, "revision", revision, "failures", before+1, "err", err)
 	case before > 0:
-		_ = level.Info(f.logger).Log("msg", "source regained", "part", f.name, "revision", revision, "failures", before)
+		_ = level.Info(f.logger).Log("msg", "source recovered", "part", f.name, "revision", revision, "failures", before)
 	}
 }
 
-// logInterrupted tells that a watch was ended because somebody knew of news.
+// logInterrupted logs that a watch was cancelled because a newer revision is known.
 func (f *follower) logInterrupted(err error) {
-	_ = level.Info(f.logger).Log("msg", "watch interrupted", "part", f.name, "revision", f.known().revision, "err", err, "outcome", "asked again at once")
+	_ = level.Info(f.logger).Log("msg", "watch interrupted", "part", f.name, "revision", f.position().revision, "err", err, "outcome", "retrying immediately")
 }
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -10,218 +10,214 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// known says up to which revision a part is known, and at which it last changed;
-// zero for no change that was seen.
-type known struct {
+// position is how far a part is synchronised: the source revision, and the last revision at which
+// the part changed, zero if no change was seen.
+type position struct {
 	revision uint64
 	changed  uint64
 }
 
-// follower follows one part of the belief.
+// follower keeps one part of the directory in sync with the source.
 type follower struct {
 	name   string
 	logger log.Logger
 	wake   chan struct{}
-	// there tells whether the part can be used.
-	there     func() bool
-	collected uint64
-
-	mu    sync.Mutex
-	state known
-	// open is what this part has yet to reach. The source is asked until it is met.
-	open     target
-	failures int
-	// asking says that others or the source are being asked.
-	asking bool
-	// unbegun counts the watches in a row whose answer did not begin in time, though the
-	// source is known to have what they ask for.
-	unbegun int
-	// misses counts the answers that did not come, over all time.
-	misses int
-	// waiting is the watch that waits for the next change, nil if none does.
-	waiting *waitingWatch
-	// historyLost says that the whole has to be read again.
-	historyLost bool
-}
-
-// target is what a follower has to reach.
+	// loaded reports whether the part has been read.
+	loaded      func() bool
+	lastBatched uint64
+
+	mu  sync.Mutex
+	pos position
+	// pending is the revision still to be reached. The source is queried until it is.
+	pending             target
+	consecutiveFailures int
+	// querying is set while a query of peers or of the source is in progress.
+	querying bool
+	// stalledWatches counts consecutive watches that sent no first byte in time although the source
+	// has changes to report.
+	stalledWatches int
+	// totalFailures counts the failed requests since the start.
+	totalFailures int
+	// longPoll is the watch that waits for the next change, or nil.
+	longPoll *longPoll
+	// fullReadNeeded is set when changes can no longer be fetched.
+	fullReadNeeded bool
+}
+
+// target is a revision that a follower has to reach.
 type target struct {
-	// wanted is a revision that the source is known to have reached; missing one at
-	// which the part is known to have changed. Zero stands for none.
-	wanted, missing uint64
+	// revision is one that the source is known to have reached, changed one at which the part is
+	// known to have changed. Zero stands for none.
+	revision, changed uint64
 }
 
-// beyond leaves out what a revision has reached.
-func (t target) beyond(revision uint64) target {
-	if t.wanted <= revision {
-		t.wanted = 0
+// unreached clears what a revision has reached.
+func (t target) unreached(revision uint64) target {
+	if t.revision <= revision {
+		t.revision = 0
 	}
-	if t.missing <= revision {
-		t.missing = 0
+	if t.changed <= revision {
+		t.changed = 0
 	}
 	return t
 }
 
-// without leaves out what was asked for.
-func (t target) without(asked target) target {
-	if t.wanted == asked.wanted {
-		t.wanted = 0
+// unrequested clears what was requested.
+func (t target) unrequested(requested target) target {
+	if t.revision == requested.revision {
+		t.revision = 0
 	}
-	if t.missing == asked.missing {
-		t.missing = 0
+	if t.changed == requested.changed {
+		t.changed = 0
 	}
 	return t
 }
 
-// waitingWatch is a watch that waits for the next change.
-type waitingWatch struct {
+// longPoll is a watch that waits for the next change.
+type longPoll struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 }
 
-// interrupt ends the watch, unless its answer is coming: that holds the news.
-func (w *waitingWatch) interrupt() {
+// interrupt cancels the watch unless its answer has started: that contains the change.
+func (w *longPoll) interrupt() {
 	if w != nil && !stall.Started(w.ctx) {
 		w.cancel(errInterrupted)
 	}
 }
 
-func newFollower(name string, logger log.Logger, there func() bool) *follower {
-	return &follower{name: name, logger: logger, wake: make(chan struct{}, 1), there: there}
+func newFollower(name string, logger log.Logger, loaded func() bool) *follower {
+	return &follower{name: name, logger: logger, wake: make(chan struct{}, 1), loaded: loaded}
 }
 
-// reach makes the follower ask at once if it knows less than a revision of the source.
-func (f *follower) reach(revision uint64) {
+// requireRevision triggers a query if the part is behind a revision of the source.
+func (f *follower) requireRevision(revision uint64) {
 	f.mu.Lock()
-	lacks := f.state.revision < revision
-	var waiting *waitingWatch
-	if lacks {
-		f.open.wanted = max(f.open.wanted, revision)
-		waiting = f.waiting
+	behind := f.pos.revision < revision
+	var w *longPoll
+	if behind {
+		f.pending.revision = max(f.pending.revision, revision)
+		w = f.longPoll
 	}
 	f.mu.Unlock()
-	if !lacks {
+	if !behind {
 		return
 	}
-	waiting.interrupt()
+	w.interrupt()
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// heardOf takes in that the part changed last at one revision, up to another.
-func (f *follower) heardOf(revision, changed uint64) {
+// observe records that, as of revision, the part last changed at revision changed.
+func (f *follower) observe(revision, changed uint64) {
 	f.mu.Lock()
-	lacks := f.state.revision < changed
+	behind := f.pos.revision < changed
 	switch {
-	case lacks:
-		f.open.missing = max(f.open.missing, changed)
-	case f.state.revision > 0:
-		f.raise(known{revision: revision})
+	case behind:
+		f.pending.changed = max(f.pending.changed, changed)
+	case f.pos.revision > 0:
+		f.advanceLocked(position{revision: revision})
 	}
 	f.mu.Unlock()
-	if lacks {
-		f.reach(changed)
+	if behind {
+		f.requireRevision(changed)
 	}
 }
 
-// target returns what is to be reached now.
 func (f *follower) target() target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open
+	return f.pending
 }
 
-// setAsking notes whether others or the source are being asked.
-func (f *follower) setAsking(asking bool) {
+func (f *follower) setQuerying(querying bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asking = asking
+	f.querying = querying
 }
 
-// met notes that the source has answered. A revision that it does not know was never its
-// own, and is not asked for again; what was heard of meanwhile is.
-func (f *follower) met(asked target) {
+// resolve records that the source has answered a request. A revision that the answer does not reach
+// did not come from this source and is not requested again, unlike one observed in the meantime.
+func (f *follower) resolve(requested target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open = f.open.without(asked)
-	f.unbegun = 0
+	f.pending = f.pending.unrequested(requested)
+	f.stalledWatches = 0
 }
 
-func (f *follower) endWaiting(w *waitingWatch) {
+func (f *follower) endLongPoll(w *longPoll) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.waiting == w {
-		f.waiting = nil
+	if f.longPoll == w {
+		f.longPoll = nil
 	}
 }
 
-func (f *follower) known() known {
+func (f *follower) position() position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state
+	return f.pos
 }
 
-// watchable tells whether changes since what is known can be asked for.
-func (f *follower) watchable() bool {
+// canWatch reports whether changes since the current position can be fetched.
+func (f *follower) canWatch() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.revision > 0 && !f.historyLost
+	return f.pos.revision > 0 && !f.fullReadNeeded
 }
 
-// forget makes the whole be read again.
-func (f *follower) forget() {
+func (f *follower) requireFullRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.historyLost = true
+	f.fullReadNeeded = true
 }
 
-// wasRead says that the whole has been read.
-func (f *follower) wasRead() {
+func (f *follower) recordFullRead() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.historyLost = false
+	f.fullReadNeeded = false
 }
 
-func (f *follower) advance(k known) {
+func (f *follower) advance(pos position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.raise(k)
+	f.advanceLocked(pos)
 }
 
-// raise takes in up to where the part is known. The caller holds mu.
-func (f *follower) raise(k known) {
-	f.state.revision = max(f.state.revision, k.revision)
-	f.state.changed = max(f.state.changed, k.changed)
-	f.open = f.open.beyond(f.state.revision)
+// advanceLocked moves the position forward. The caller holds mu.
+func (f *follower) advanceLocked(pos position) {
+	f.pos.revision = max(f.pos.revision, pos.revision)
+	f.pos.changed = max(f.pos.changed, pos.changed)
+	f.pending = f.pending.unreached(f.pos.revision)
 }
 
-// unbegunMost is how many watches in a row may fail to begin before the whole is read in
-// their place: a source that is slow to gather many changes may have the whole at hand.
-const unbegunMost = 2
+// maxStalledWatches is the number of consecutive stalled watches after which the part is read in
+// full: a source that takes long to collect many changes may still serve a full read quickly.
+const maxStalledWatches = 2
 
-// notBegun counts a watch that failed. One counts whose answer did not begin though there
-// is something to tell: a silent source is not meant.
-func (f *follower) notBegun(asked target, err error) {
+// recordStall counts a watch that sent no first byte although the source has changes to report. A
+// source that is merely unavailable does not count.
+func (f *follower) recordStall(requested target, err error) {
 	var stalled *stall.Error
-	if asked.wanted == 0 || !errors.As(err, &stalled) || stalled.Started {
+	if requested.revision == 0 || !errors.As(err, &stalled) || stalled.Started {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unbegun++
+	f.stalledWatches++
 }
 
-// watchesFail tells whether the whole is to be read, as watches do not begin.
-func (f *follower) watchesFail() bool {
+// watchesStall reports whether to read in full because watches stall.
+func (f *follower) watchesStall() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unbegun >= unbegunMost
+	return f.stalledWatches >= maxStalledWatches
 }
 
-// covers tells whether a delta adds to what is known, without a gap.
-func (f *follower) covers(delta Delta) bool {
-	k := f.known()
-	return k.revision > 0 && delta.From <= k.revision && k.revision < delta.To
+// extendedBy reports whether a delta continues the current position without a gap.
+func (f *follower) extendedBy(delta Delta) bool {
+	pos := f.position()
+	return pos.revision > 0 && delta.From <= pos.revision && pos.revision < delta.To
 }
--- a/pkg/directory/history.go
+++ b/pkg/directory/history.go
@@ -6,57 +6,58 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// historyEvents bounds the changes of the list that are kept for boxes that lack them: as many as
-// the servers of a large fleet of which a quarter is replaced within a minute or two.
-const historyEvents = 4096
+// maxHistoryEvents bounds the list changes kept for boxes that lag behind. It covers the
+// replacement of a quarter of a large fleet within one or two minutes.
+const maxHistoryEvents = 4096
 
-// listHistory keeps the last changes of the list of servers.
+// listHistory keeps the most recent changes of the list of servers.
 type listHistory struct {
-	// from is the revision from which on all changes are known.
+	// from is the revision after which all changes are known.
 	from   uint64
-	deltas []keptDelta
+	deltas []historyEntry
 	events int
 }
 
-// keptDelta is a change that is kept.
-type keptDelta struct {
+// historyEntry is a delta in the history.
+type historyEntry struct {
 	Delta
-	// jump tells that the whole list was read: between the two revisions servers may have changed
-	// and changed back, which is known to nobody here.
-	jump bool
+	// fullRead marks a delta that spans a full read. Changes that were reverted within it are
+	// unknown, so it cannot be split at a revision.
+	fullRead bool
 }
 
-// size is what it counts of what is kept: also a jump in which nothing has changed takes room.
-func (d keptDelta) size() int { return max(1, len(d.Events)) }
+// size returns what an entry counts towards the limit; an empty one counts as one.
+func (d historyEntry) size() int { return max(1, len(d.Events)) }
 
-// begin begins with a first list.
-func (h *listHistory) begin(revision uint64) { *h = listHistory{from: revision} }
+// reset starts the history at the revision of a first list.
+func (h *listHistory) reset(revision uint64) { *h = listHistory{from: revision} }
 
-// jump keeps what leads from a list to a later one that was read as a whole.
-func (h *listHistory) jump(d Delta) {
+// addFullRead records the difference to a list that was read in full.
+func (h *listHistory) addFullRead(d Delta) {
 	if d.From < d.To {
-		h.keep(keptDelta{Delta: d, jump: true})
+		h.push(historyEntry{Delta: d, fullRead: true})
 	}
 }
 
-// add keeps a change. Deltas in which nothing has changed come with each watch that ends, for ever.
+// add records a delta. Empty ones are skipped, as each watch that times out yields one.
 func (h *listHistory) add(d Delta) {
 	if len(d.Events) > 0 {
-		h.keep(keptDelta{Delta: d})
+		h.push(historyEntry{Delta: d})
 	}
 }
 
-func (h *listHistory) keep(d keptDelta) {
+func (h *listHistory) push(d historyEntry) {
 	h.deltas = append(h.deltas, d)
 	h.events += d.size()
-	for h.events > historyEvents {
+	for h.events > maxHistoryEvents {
 		h.from = h.deltas[0].To
 		h.events -= h.deltas[0].size()
 		h.deltas = h.deltas[1:]
 	}
 }
 
-// since returns the last change of each server after a revision; false if that is not known.
+// since returns the last change of each server after a revision, or false if these are not all
+// known.
 func (h *listHistory) since(revision uint64) ([]ServerEvent, bool) {
 	if h.from == 0 || revision < h.from {
 		return nil, false
@@ -67,7 +68,7 @@
 		if d.To <= revision {
 			continue
 		}
-		if d.jump && d.From < revision {
+		if d.fullRead && d.From < revision {
 			return nil, false
 		}
 		for _, e := range d.Events {
@@ -82,13 +83,12 @@
 	return events, true
 }
 
-// ListCopy is the list of servers as one box knows it: as a whole, or what has changed in it.
+// ListCopy is one box's copy of the list of servers, either whole or as a delta.
 type ListCopy struct {
-	// Servers is the whole list; nil where Delta is set, which leads to it.
+	// Servers is the whole list; nil if Delta is set.
 	Servers           []routing.Server
 	Delta             *Delta
 	Revision, Changed uint64
 	ConfirmedAt       time.Time
-	// Evacuations are the halls whose servers get nothing.
-	Evacuations Evacuations
+	Evacuations       Evacuations
 }
--- a/pkg/directory/history_test.go
+++ b/pkg/directory/history_test.go
@@ -13,8 +13,8 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// listedIn is the list that a box has.
-func listedIn(d *Directory) map[string]routing.Server {
+// listedServers returns the servers that are listed.
+func listedServers(d *Directory) map[string]routing.Server {
 	list := make(map[string]routing.Server)
 	for id, s := range d.servers {
 		if s.RemovedAt.IsZero() {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// candidatesOf are the candidates by a directory's view, which is changed step by step, in order.
+// candidatesOf returns the candidates and panics if they are not ordered by ID.
 func candidatesOf(d *Directory) []routing.Server {
 	list := d.View().Candidates("", time.Now().Add(time.Hour), 0)
 	if !slices.IsSortedFunc(list, func(a, b routing.Server) int { return cmp.Compare(a.ID, b.ID) }) {
@@ -33,15 +33,15 @@
 	return append([]routing.Server{}, list...)
 }
 
-// A box that lacks some changes has, after what another box tells it of them, the same list as that
-// one, whatever came in which order; it is told the whole where the changes are not known.
+// A box that copies the changes it lacks from another box must end up with the same list, whatever
+// the order of deltas and full reads.
 func TestChangesLeadToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		first, second := New(log.NewNopLogger()), New(log.NewNopLogger())
 		revision := uint64(1)
-		first.takeList(nil, revision, now)
-		second.takeList(nil, revision, now)
+		first.applyList(nil, revision, now)
+		second.applyList(nil, revision, now)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s := routing.Server{ID: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"), Slots: rapid.IntRange(1, 3).Draw(t, "slots")}
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -51,58 +51,58 @@
 				revision += 2
 			case 7:
 				revision += 3
-				first.takeList([]routing.Server{s}, revision, now)
+				first.applyList([]routing.Server{s}, revision, now)
 			case 8, 9:
-				since := second.list.known().revision
+				since := second.list.position().revision
 				c := copySince(first, since)
 				if c.Delta != nil {
-					second.applyCopied(*c.Delta)
+					second.applyCopiedDelta(*c.Delta)
 				} else {
-					second.takeList(c.Servers, c.Revision, now)
+					second.applyList(c.Servers, c.Revision, now)
 				}
-				assert.Equal(t, listedIn(first), listedIn(second))
+				assert.Equal(t, listedServers(first), listedServers(second))
 				assert.Equal(t, candidatesOf(first), candidatesOf(second))
 			}
 		}
 	})
 }
 
-// learner is a box that learns the list from a source by changes, or as a whole.
-type learner struct {
+// replica is a box that follows a source by deltas or by full reads.
+type replica struct {
 	directory *Directory
-	source    *[]ServerEvent // event i made revision i+2
+	events    *[]ServerEvent // event i creates revision i+2
 }
 
-// watch takes in the changes up to a revision, as a watch tells them.
-func (l learner) watch(to uint64) {
-	known := l.directory.list.known().revision
-	if known < to {
-		l.directory.ApplyDelta(Delta{From: known, To: to, Events: (*l.source)[known-1 : to-1]})
+// watch applies the changes up to a revision.
+func (r replica) watch(to uint64) {
+	from := r.directory.list.position().revision
+	if from < to {
+		r.directory.ApplyDelta(Delta{From: from, To: to, Events: (*r.events)[from-1 : to-1]})
 	}
 }
 
-// read takes in the whole list at a revision.
-func (l learner) read(at uint64) {
-	l.directory.takeList(replay((*l.source)[:at-1]), at, time.Now())
+// read applies the whole list at a revision.
+func (r replica) read(at uint64) {
+	r.directory.applyList(replay((*r.events)[:at-1]), at, time.Now())
 }
 
-// Boxes learn of one source by changes and by whole lists, at any revisions, and of each other:
-// whatever a box tells another of the changes since any revision leads to the list as it was.
+// Boxes follow one source by deltas and full reads at any revisions, and copy from each other. Each
+// must always have the list that the source had at its position.
 func TestChangesLeadToTheSourcesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var source []ServerEvent
-		boxes := make([]learner, 3)
+		var events []ServerEvent
+		boxes := make([]replica, 3)
 		for i := range boxes {
-			boxes[i] = learner{directory: New(log.NewNopLogger()), source: &source}
+			boxes[i] = replica{directory: New(log.NewNopLogger()), events: &events}
 			boxes[i].read(1)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			b := boxes[rapid.IntRange(0, 2).Draw(t, "box")]
-			newest := uint64(len(source) + 1)
+			newest := uint64(len(events) + 1)
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			default:
 				s := routing.Server{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), Slots: rapid.IntRange(1, 2).Draw(t, "slots")}
-				source = append(source, ServerEvent{Server: s, Removed: rapid.IntRange(0, 3).Draw(t, "removed") == 0})
+				events = append(events, ServerEvent{Server: s, Removed: rapid.IntRange(0, 3).Draw(t, "removed") == 0})
 				continue
 			case 2:
 				b.watch(rapid.Uint64Range(1, newest).Draw(t, "to"))
@@ -110,43 +110,42 @@
 				b.read(rapid.Uint64Range(1, newest).Draw(t, "at"))
 			case 4, 5:
 				other := boxes[rapid.IntRange(0, 2).Draw(t, "other")].directory
-				if !other.list.there() {
+				if !other.list.loaded() {
 					continue
 				}
-				c := copySince(other, b.directory.list.known().revision)
-				if c.Revision <= b.directory.list.known().revision {
+				c := copySince(other, b.directory.list.position().revision)
+				if c.Revision <= b.directory.list.position().revision {
 					continue
 				}
 				if c.Delta != nil {
-					b.directory.applyCopied(*c.Delta)
+					b.directory.applyCopiedDelta(*c.Delta)
 				} else {
-					b.directory.takeList(c.Servers, c.Revision, time.Now())
+					b.directory.applyList(c.Servers, c.Revision, time.Now())
 				}
 			}
 			want := make(map[string]routing.Server)
-			for _, s := range replay(source[:b.directory.list.known().revision-1]) {
+			for _, s := range replay(events[:b.directory.list.position().revision-1]) {
 				want[s.ID] = s
 			}
-			if got := listedIn(b.directory); !assert.ObjectsAreEqual(want, got) {
-				t.Fatalf("at revision %d the box has %v, the source had %v", b.directory.list.known().revision, got, want)
+			if got := listedServers(b.directory); !assert.ObjectsAreEqual(want, got) {
+				t.Fatalf("at revision %d: got %v, want %v", b.directory.list.position().revision, got, want)
 			}
 		}
 	})
 }
 
-// A box whose source has forgotten its history, and that reads the whole list, still tells the
-// others what has changed alone.
+// A box that had to read the whole list must still serve the changes since its previous list.
 func TestChangesAreToldAcrossAWholeList(t *testing.T) {
 	d := New(log.NewNopLogger())
-	d.takeList([]routing.Server{serverIn("east", 0), serverIn("east", 1)}, 5, time.Now())
-	d.takeList([]routing.Server{serverIn("east", 0), serverIn("east", 2)}, 9, time.Now())
+	d.applyList([]routing.Server{serverIn("east", 0), serverIn("east", 1)}, 5, time.Now())
+	d.applyList([]routing.Server{serverIn("east", 0), serverIn("east", 2)}, 9, time.Now())
 	c := copySince(d, 5)
 	assert.Len(t, c.Delta.Events, 2)
 	c = copySince(d, 7)
-	assert.Nil(t, c.Delta, "what changed and changed back is not known")
+	assert.Nil(t, c.Delta, "changes that were reverted between the reads are unknown")
 }
 
-// A box that lacks a change asks for that alone, however long the list is.
+// A box that lacks one change must get that alone, however long the list is.
 func TestOneChangeIsTold(t *testing.T) {
 	for _, n := range []int{1000, 2000} {
 		d := New(log.NewNopLogger())
@@ -154,34 +153,34 @@
 		for i := range n {
 			list = append(list, serverIn("east", i))
 		}
-		d.takeList(list, 5, time.Now())
+		d.applyList(list, 5, time.Now())
 		d.ApplyDelta(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: serverIn("east", n)}}})
 		c := copySince(d, 6)
 		assert.Len(t, c.Delta.Events, 1)
 		c = copySince(d, 4)
-		assert.Nil(t, c.Delta, "from before the list was read")
+		assert.Nil(t, c.Delta, "the requested revision precedes the first read")
 		assert.Len(t, c.Servers, n+1)
 	}
 }
 
-// What is kept is bounded; a box that lacks more is told the whole.
-func TestOldChangesAreForgotten(t *testing.T) {
+// The history must be bounded; a box that lacks more gets the whole list.
+func TestHistoryIsBounded(t *testing.T) {
 	var h listHistory
-	h.begin(1)
-	for i := range uint64(historyEvents + 10) {
+	h.reset(1)
+	for i := range uint64(maxHistoryEvents + 10) {
 		h.add(Delta{From: i + 1, To: i + 2, Events: []ServerEvent{{Server: serverIn("east", int(i))}}})
 	}
-	assert.Equal(t, historyEvents, h.events)
-	h.add(Delta{From: historyEvents + 11, To: historyEvents + 12})
-	assert.Len(t, h.deltas, historyEvents, "nothing has changed")
+	assert.Equal(t, maxHistoryEvents, h.events)
+	h.add(Delta{From: maxHistoryEvents + 11, To: maxHistoryEvents + 12})
+	assert.Len(t, h.deltas, maxHistoryEvents, "empty deltas are not kept")
 	_, ok := h.since(5)
 	assert.False(t, ok)
-	events, ok := h.since(historyEvents + 10)
+	events, ok := h.since(maxHistoryEvents + 10)
 	assert.True(t, ok)
 	assert.Len(t, events, 1)
 }
 
-// copySince is what a box is told that knows the list at a revision.
+// copySince returns the copy for a box that knows the list at a revision.
 func copySince(d *Directory, since uint64) ListCopy {
 	if c, ok := d.ListSince(since); ok {
 		return c
--- a/pkg/directory/parts.go
+++ b/pkg/directory/parts.go
@@ -12,17 +12,17 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// part is one part of the belief, as its source gives it.
+// part is one part of the directory: the routing table or the list of servers.
 type part interface {
-	// readsWhole tells whether the whole is to be read to reach a target, though the
-	// changes since the last answer could be had.
-	readsWhole(t target) bool
-	// read reads the whole.
-	read(ctx context.Context, asked time.Time) (known, error)
-	// watch takes in what has changed after a revision.
-	watch(ctx context.Context, after uint64, wait time.Duration) (known, error)
-	// fetch takes in the whole from another box that knows it at a revision.
-	fetch(ctx context.Context, least uint64) (known, error)
+	// prefersFullRead reports whether to reach a target by a full read although its changes could be
+	// fetched.
+	prefersFullRead(t target) bool
+	// read reads the whole part from the source.
+	read(ctx context.Context, askedAt time.Time) (position, error)
+	// watch applies the changes after a revision.
+	watch(ctx context.Context, after uint64, wait time.Duration) (position, error)
+	// fetch copies the part from another box that knows it at minRevision or later.
+	fetch(ctx context.Context, minRevision uint64) (position, error)
 }
 
 type tablePart struct {
@@ -30,60 +30,62 @@
 	source    Source
 	providers Providers
 	timing    Timing
-	// bytes is how long the last answer that held a table was.
-	bytes int
-	// watched is the wait of a watch whose answer can't be had: what is read in its place
-	// is as much news for the others.
-	watched time.Duration
+	// lastTableBytes is the length of the last answer that held a table.
+	lastTableBytes int
+	// failedWatchWait is the wait of a watch that failed because a full read is needed. It lets the
+	// read that replaces it notify the other boxes as the watch would have.
+	failedWatchWait time.Duration
 }
 
 const (
-	// growthMost is how many times the last table's length an answer to a watch may have:
-	// a longer one holds several versions, and takes longer than the whole.
-	growthMost = 1.5
-	// historyLeast is the length, in bytes, that an answer may always have: a table of a
-	// megabyte, which is the most that stores keep as one value, and what stands round it.
-	historyLeast = 1<<20 + 1<<18
+	// maxGrowth is the longest accepted answer to a watch, as a multiple of the last table's
+	// length. A longer one holds several versions and takes longer than a full read.
+	maxGrowth = 1.5
+	// minHistoryBytes is accepted in any case: a table of 1 MiB, the largest value that stores keep,
+	// with its envelope.
+	minHistoryBytes = 1<<20 + 1<<18
 )
 
-// historyMost is how long an answer to a watch may be, in bytes.
-func (p *tablePart) historyMost() int { return max(historyLeast, int(growthMost*float64(p.bytes))) }
+// maxHistoryBytes returns the longest accepted answer to a watch.
+func (p *tablePart) maxHistoryBytes() int {
+	return max(minHistoryBytes, int(maxGrowth*float64(p.lastTableBytes)))
+}
 
-// readsWhole is true where a change is known to lack: each change of a table comes with the
-// whole table, so that the table alone is never longer.
-func (p *tablePart) readsWhole(t target) bool { return t.missing > 0 }
+// prefersFullRead is true if the table has changed: each change carries the whole table, so a full
+// read is never longer.
+func (p *tablePart) prefersFullRead(t target) bool { return t.changed > 0 }
 
-func (p *tablePart) read(ctx context.Context, asked time.Time) (known, error) {
-	ctx, cancel := stall.WithLimits(ctx, p.timing.limits(p.directory.table.patience(p.timing)))
+func (p *tablePart) read(ctx context.Context, askedAt time.Time) (position, error) {
+	ctx, cancel := stall.WithLimits(ctx, p.timing.stallLimits(p.directory.table.answerTimeout(p.timing)))
 	defer cancel()
-	read, err := p.source.ReadTable(ctx)
+	result, err := p.source.ReadTable(ctx)
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
-	wait := max(briefly, p.watched)
-	p.watched = 0
-	return p.take(read, asked, wait), nil
+	wait := max(pollWait, p.failedWatchWait)
+	p.failedWatchWait = 0
+	return p.applyResult(result, askedAt, wait), nil
 }
 
-func (p *tablePart) watch(ctx context.Context, after uint64, wait time.Duration) (known, error) {
-	read, err := p.source.WatchTable(ctx, after, wait, p.historyMost())
-	if needsWhole(err) {
-		p.watched = wait
+func (p *tablePart) watch(ctx context.Context, after uint64, wait time.Duration) (position, error) {
+	result, err := p.source.WatchTable(ctx, after, wait, p.maxHistoryBytes())
+	if needsFullRead(err) {
+		p.failedWatchWait = wait
 	}
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
-	return p.take(read, clock.Now(), wait), nil
+	return p.applyResult(result, clock.Now(), wait), nil
 }
 
-// take takes an answer in and tells the other boxes of it.
-func (p *tablePart) take(read TableResult, at time.Time, wait time.Duration) known {
-	if read.Table != nil {
-		p.bytes = read.Bytes
+// applyResult applies a table and notifies the other boxes.
+func (p *tablePart) applyResult(result TableResult, at time.Time, wait time.Duration) position {
+	if result.Table != nil {
+		p.lastTableBytes = result.Bytes
 	}
-	before := p.directory.readTable(read, at)
-	p.directory.tellTable(before, read, wait)
-	return known{revision: read.Revision, changed: read.Changed}
+	before := p.directory.applyTable(result, at)
+	p.directory.notifyTable(before, result, wait)
+	return position{revision: result.Revision, changed: result.Changed}
 }
 
 type serversPart struct {
@@ -93,65 +95,64 @@
 	timing    Timing
 }
 
-// readsWhole is false: changes are short, and the list is long.
-func (p *serversPart) readsWhole(target) bool { return false }
+// prefersFullRead is false: changes are short and the list is long.
+func (p *serversPart) prefersFullRead(target) bool { return false }
 
-// read reads all pages. While many boxes start at once they ask for far more pages than
-// the source gives in a second, so the pages after the first may be stale; what has
-// changed since the oldest of them is read afterwards.
-func (p *serversPart) read(ctx context.Context, asked time.Time) (known, error) {
-	// No server of an evacuated hall may get anything from a box that has just started.
-	if err := p.readEvacuations(ctx, asked); err != nil {
-		return known{}, err
+// read reads all pages. Pages after the first may be stale, which spares the source when many boxes
+// start at once; the changes since the oldest page are then fetched with a watch.
+func (p *serversPart) read(ctx context.Context, askedAt time.Time) (position, error) {
+	// Evacuations come first, so that no server of an evacuated hall gets work from a starting box.
+	if err := p.readEvacuations(ctx, askedAt); err != nil {
+		return position{}, err
 	}
-	list, err := p.pages(ctx, true)
+	list, err := p.readPages(ctx, true)
 	if err == nil && list.stale {
-		err = p.renew(ctx, &list)
+		err = p.catchUp(ctx, &list)
 	}
 	if errors.Is(err, ErrHistoryLost) {
-		// What has changed since the stale pages can't be had.
-		list, err = p.pages(ctx, false)
+		// The changes since the stale pages are compacted.
+		list, err = p.readPages(ctx, false)
 	}
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
-	before := p.directory.list.known().revision
-	events := p.directory.takeList(list.servers, list.revision, asked)
+	before := p.directory.list.position().revision
+	events := p.directory.applyList(list.servers, list.revision, askedAt)
 	if before > 0 {
-		p.directory.tellServers(Delta{From: before, To: list.revision, Events: events}, briefly)
+		p.directory.notifyServers(Delta{From: before, To: list.revision, Events: events}, pollWait)
 	}
-	// A list does not show what was removed before, nor when.
-	return known{revision: list.revision, changed: list.revision}, nil
+	// A list does not show when servers were removed.
+	return position{revision: list.revision, changed: list.revision}, nil
 }
 
-func (p *serversPart) readEvacuations(ctx context.Context, asked time.Time) error {
-	ctx, cancel := stall.WithLimits(ctx, p.timing.limits(p.directory.list.patience(p.timing)))
+func (p *serversPart) readEvacuations(ctx context.Context, askedAt time.Time) error {
+	ctx, cancel := stall.WithLimits(ctx, p.timing.stallLimits(p.directory.list.answerTimeout(p.timing)))
 	defer cancel()
 	evacuations, err := p.source.ReadEvacuations(ctx)
 	if err != nil {
 		return withCause(ctx, err)
 	}
-	p.directory.SetEvacuations(evacuations, asked)
+	p.directory.SetEvacuations(evacuations, askedAt)
 	return nil
 }
 
-// pagedList is a list as its pages gave it, all of them no older than a revision.
+// pagedList is a list assembled from pages, none of them older than its revision.
 type pagedList struct {
 	servers  []routing.Server
 	revision uint64
 	stale    bool
 }
 
-// pages reads all pages, those after the first stale where that is allowed.
-func (p *serversPart) pages(ctx context.Context, stale bool) (pagedList, error) {
-	first, err := p.page(ctx, "", false)
+// readPages reads all pages. If stale is set, those after the first may be stale.
+func (p *serversPart) readPages(ctx context.Context, stale bool) (pagedList, error) {
+	firstPage, err := p.readPage(ctx, "", false)
 	if err != nil {
 		return pagedList{}, err
 	}
-	// What changes while the other pages are read comes with a watch.
-	list := pagedList{servers: first.Servers, revision: first.Revision}
-	for from := first.Next; from != ""; {
-		page, err := p.page(ctx, from, stale)
+	// A watch returns what changes while the other pages are read.
+	list := pagedList{servers: firstPage.Servers, revision: firstPage.Revision}
+	for from := firstPage.Next; from != ""; {
+		page, err := p.readPage(ctx, from, stale)
 		if err != nil {
 			return pagedList{}, err
 		}
@@ -165,11 +166,11 @@
 	return list, nil
 }
 
-// renew brings a list up to the source's revision of now.
-func (p *serversPart) renew(ctx context.Context, list *pagedList) error {
-	ctx, cancel := stall.WithLimits(ctx, p.timing.limits(p.directory.list.patience(p.timing)))
+// catchUp applies the changes since the list's revision.
+func (p *serversPart) catchUp(ctx context.Context, list *pagedList) error {
+	ctx, cancel := stall.WithLimits(ctx, p.timing.stallLimits(p.directory.list.answerTimeout(p.timing)))
 	defer cancel()
-	changes, err := p.source.WatchServers(ctx, list.revision, briefly)
+	changes, err := p.source.WatchServers(ctx, list.revision, pollWait)
 	if err != nil {
 		return err
 	}
@@ -183,35 +184,35 @@
 	return nil
 }
 
-// pageTries bounds how often a page is asked for. To begin the whole list anew for
-// one page that was refused would never end while many boxes start at once.
-const pageTries = 12
+// maxPageAttempts bounds the attempts for each page. Retrying a page instead of the whole list lets
+// the read complete when the source rejects many calls.
+const maxPageAttempts = 12
 
-func (p *serversPart) page(ctx context.Context, from string, stale bool) (page ServersPage, err error) {
-	for try := range pageTries {
-		page, err = p.pageOnce(ctx, from, stale, p.directory.list.patience(p.timing))
+func (p *serversPart) readPage(ctx context.Context, from string, stale bool) (page ServersPage, err error) {
+	for attempt := range maxPageAttempts {
+		page, err = p.readPageOnce(ctx, from, stale, p.directory.list.answerTimeout(p.timing))
 		if err == nil || ctx.Err() != nil {
 			return page, err
 		}
-		p.directory.list.missed()
-		pause.For(ctx, p.directory.list.limit(p.timing, backoff(p.timing, try)))
+		p.directory.list.countFailure()
+		pause.For(ctx, p.directory.list.boundPause(p.timing, backoff(p.timing, attempt)))
 	}
 	return page, err
 }
 
-func (p *serversPart) pageOnce(ctx context.Context, from string, stale bool, patience time.Duration) (ServersPage, error) {
-	ctx, cancel := stall.WithLimits(ctx, p.timing.limits(patience))
+func (p *serversPart) readPageOnce(ctx context.Context, from string, stale bool, timeout time.Duration) (ServersPage, error) {
+	ctx, cancel := stall.WithLimits(ctx, p.timing.stallLimits(timeout))
 	defer cancel()
 	return p.source.ReadServers(ctx, from, stale)
 }
 
-func (p *serversPart) watch(ctx context.Context, after uint64, wait time.Duration) (known, error) {
+func (p *serversPart) watch(ctx context.Context, after uint64, wait time.Duration) (position, error) {
 	changes, err := p.source.WatchServers(ctx, after, wait)
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
 	delta := Delta{From: after, To: changes.Revision, Events: changes.Events}
 	p.directory.ApplyDelta(delta)
-	p.directory.tellServers(delta, wait)
-	return p.directory.list.known(), nil
+	p.directory.notifyServers(delta, wait)
+	return p.directory.list.position(), nil
 }
--- a/pkg/directory/pools.go
+++ b/pkg/directory/pools.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// removedKept is how long a removed server is remembered.
-	removedKept = time.Minute
-	// tidyEvery is how often the pools are made anew, without what is remembered no more.
-	tidyEvery = 30 * time.Second
-	// changesMost is how many changes at once are put into the pools one by one.
-	changesMost = 64
+	// removedRetention is how long a removed server is kept.
+	removedRetention = time.Minute
+	// pruneInterval is how often the pools are rebuilt without the servers whose retention has
+	// ended.
+	pruneInterval = 30 * time.Second
+	// maxIncrementalChanges is the number of changes up to which the pools are updated in place of a
+	// rebuild.
+	maxIncrementalChanges = 64
 )
 
-// pool is the servers of a service. It is immutable once it is in a view.
+// pool holds the servers of a service. It is immutable once it is part of a view.
 type pool struct {
-	// ready are listed and get work, in the order of their IDs; idle are listed and don't, lost are
-	// not listed any more.
-	ready []routing.Server
-	idle  []routing.Server
-	lost  []Server
+	// ready are listed and get work, ordered by ID; draining are listed and get none; removed are no
+	// longer listed.
+	ready    []routing.Server
+	draining []routing.Server
+	removed  []Server
 }
 
-// add adds a server, which gets nothing where it leaves or its hall is evacuated.
+// add adds a server without keeping ready in order.
 func (p *pool) add(s Server, evacuated bool) {
 	stopped := s.Leaving || evacuated
 	switch {
 	case stopped && s.RemovedAt.IsZero():
-		p.idle = append(p.idle, s.Server)
+		p.draining = append(p.draining, s.Server)
 	case stopped:
 	case s.RemovedAt.IsZero():
 		p.ready = append(p.ready, s.Server)
 	default:
-		p.lost = append(p.lost, s)
+		p.removed = append(p.removed, s)
 	}
 }
 
@@ -45,21 +47,21 @@
 	slices.SortFunc(p.ready, func(a, b routing.Server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// without is a copy that lacks some servers, with room for them.
-func (p *pool) without(ids map[string]bool) *pool {
+// copyWithout returns a copy without some servers, with spare capacity for them.
+func (p *pool) copyWithout(ids map[string]bool) *pool {
 	return &pool{
-		ready: slices.DeleteFunc(copyOf(p.ready, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
-		idle:  slices.DeleteFunc(copyOf(p.idle, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
-		lost:  slices.DeleteFunc(copyOf(p.lost, len(ids)), func(s Server) bool { return ids[s.ID] }),
+		ready:    slices.DeleteFunc(cloneWithRoom(p.ready, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
+		draining: slices.DeleteFunc(cloneWithRoom(p.draining, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
+		removed:  slices.DeleteFunc(cloneWithRoom(p.removed, len(ids)), func(s Server) bool { return ids[s.ID] }),
 	}
 }
 
-// copyOf is a copy of a list with room for some more.
-func copyOf[T any](list []T, more int) []T {
+// cloneWithRoom returns a copy with spare capacity.
+func cloneWithRoom[T any](list []T, more int) []T {
 	return append(make([]T, 0, len(list)+more), list...)
 }
 
-// insert adds a server, ready ones in the order of their IDs.
+// insert adds a server and keeps ready ordered by ID.
 func (p *pool) insert(s Server, evacuated bool) {
 	ready := len(p.ready)
 	p.add(s, evacuated)
@@ -71,15 +73,15 @@
 	p.ready[at] = s.Server
 }
 
-// publishServers makes all pools anew. The caller holds mu.
-func (d *Directory) publishServers(at time.Time) {
+// rebuildPools builds all pools from the list and prunes removed servers. The caller holds mu.
+func (d *Directory) rebuildPools(at time.Time) {
 	v := *d.view.Load()
 	v.ServersConfirmedAt = at
-	v.warm = make(map[routing.Incarnation]time.Time)
-	v.evacuated = d.evacuations.set()
+	v.warmUpEnds = make(map[routing.Incarnation]time.Time)
+	v.evacuated = d.evacuations.hallSet()
 	v.pools = make(map[string]*pool)
 	for id, s := range d.servers {
-		if !s.RemovedAt.IsZero() && at.Sub(s.RemovedAt) > removedKept {
+		if !s.RemovedAt.IsZero() && at.Sub(s.RemovedAt) > removedRetention {
 			delete(d.servers, id)
 			continue
 		}
@@ -90,54 +92,53 @@
 		}
 		p.add(s, v.evacuated[s.Hall])
 		if s.WarmUpEnd.After(at) {
-			v.warm[s.Incarnation()] = s.WarmUpEnd
+			v.warmUpEnds[s.Incarnation()] = s.WarmUpEnd
 		}
 	}
 	for _, p := range v.pools {
 		p.sort()
 	}
-	d.tidied = at
+	d.prunedAt = at
 	d.view.Store(&v)
 }
 
-// publishChanges makes the pools anew whose servers have changed, from those before. To make all of
-// them anew with each change took 6.9 ms for 9,845 servers, several times a second while servers
-// are replaced; this takes 0.6 ms (BenchmarkChange). The caller holds mu.
-func (d *Directory) publishChanges(events []ServerEvent, at time.Time) {
-	if len(events) > changesMost || at.Sub(d.tidied) > tidyEvery {
-		d.publishServers(at)
+// updatePools copies only the pools with changed servers, as a rebuild is costly while servers are
+// being replaced. The caller holds mu.
+func (d *Directory) updatePools(events []ServerEvent, at time.Time) {
+	if len(events) > maxIncrementalChanges || at.Sub(d.prunedAt) > pruneInterval {
+		d.rebuildPools(at)
 		return
 	}
 	v := *d.view.Load()
 	v.ServersConfirmedAt = at
 	if len(events) > 0 {
-		v.pools, v.warm = maps.Clone(v.pools), maps.Clone(v.warm)
-		d.replace(&v, events, at)
+		v.pools, v.warmUpEnds = maps.Clone(v.pools), maps.Clone(v.warmUpEnds)
+		d.replaceServers(&v, events, at)
 	}
 	d.view.Store(&v)
 }
 
-// replace replaces servers that have changed in a view that is not published yet.
-func (d *Directory) replace(v *View, events []ServerEvent, at time.Time) {
+// replaceServers updates changed servers in a view that is not published yet.
+func (d *Directory) replaceServers(v *View, events []ServerEvent, at time.Time) {
 	ids := make(map[string]bool, len(events))
 	for _, e := range events {
 		ids[e.Server.ID] = true
 	}
 	for service, p := range v.pools {
-		v.pools[service] = p.without(ids)
+		v.pools[service] = p.copyWithout(ids)
 	}
 	for id := range ids {
-		s, known := d.servers[id]
-		if !known {
+		s, exists := d.servers[id]
+		if !exists {
 			continue
 		}
 		if v.pools[s.Service] == nil {
 			v.pools[s.Service] = &pool{}
 		}
 		v.pools[s.Service].insert(s, v.evacuated[s.Hall])
-		delete(v.warm, s.Incarnation())
+		delete(v.warmUpEnds, s.Incarnation())
 		if s.WarmUpEnd.After(at) {
-			v.warm[s.Incarnation()] = s.WarmUpEnd
+			v.warmUpEnds[s.Incarnation()] = s.WarmUpEnd
 		}
 	}
 }
--- a/pkg/directory/providers.go
+++ b/pkg/directory/providers.go
@@ -14,151 +14,151 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// ErrNoProvider says that no other box is known that may have what this one lacks.
-var ErrNoProvider = errors.New("no other box is known to ask: the source is asked")
+// ErrNoProvider is returned if there is no other box to ask.
+var ErrNoProvider = errors.New("no other box can serve a copy: querying the source")
 
-// ErrBehind says that a box does not know as much as was asked for.
+// ErrBehind is returned by a box that has not reached the requested revision.
 var ErrBehind = errors.New("the other box is behind: the next one or the source is asked")
 
-// ErrLoading says that a box does not know as much as was asked for, and is about to.
+// ErrLoading is returned by a box that has not reached the requested revision and is reading it.
 var ErrLoading = errors.New("the other box is reading it: it is asked again")
 
-// TableCopy is the table as one box knows it.
+// TableCopy is one box's copy of the routing table.
 type TableCopy struct {
 	Table *routing.Table
-	// Revision and Changed are up to where the table is known, and where it changed last.
+	// Revision is the revision up to which the table is known, Changed the one at which it last
+	// changed.
 	Revision, Changed uint64
-	// ConfirmedAt is when the source confirmed it.
+	// ConfirmedAt is when the source confirmed the table.
 	ConfirmedAt time.Time
 }
 
-// Providers are the other boxes that this one asks for what it lacks, which spares the
-// source the question.
+// Providers are the other boxes that can serve copies, which takes load off the source.
 type Providers interface {
-	// Table asks for a table known at a revision at least. The table in force, which may be
-	// nil, need not be sent again.
-	Table(ctx context.Context, inForce *routing.Table, least uint64) (TableCopy, error)
-	// Servers asks for the list known at a revision at least. Of a list that is known at another
-	// one, zero for none, only what has changed since need be sent.
-	Servers(ctx context.Context, known, least uint64) (ListCopy, error)
+	// Table requests a table known at minRevision or later. The table in force, which may be nil,
+	// need not be sent again.
+	Table(ctx context.Context, inForce *routing.Table, minRevision uint64) (TableCopy, error)
+	// Servers requests the list known at minRevision or later. If since is not zero, a delta from
+	// that revision is sufficient.
+	Servers(ctx context.Context, since, minRevision uint64) (ListCopy, error)
 }
 
-// asksProviders tells whether other boxes are asked before the source: by a box that reads
-// for nobody, while it has nothing yet or where it was told that something has changed.
-func (f *follower) asksProviders(asked target, reader func() bool) bool {
-	return (asked.missing > 0 || !f.there()) && !reader()
+// shouldAskProviders reports whether to query other boxes before the source: a box that is no
+// reader does so while the part is not loaded, and when it is known to have changed.
+func (f *follower) shouldAskProviders(requested target, reader func() bool) bool {
+	return (requested.changed > 0 || !f.loaded()) && !reader()
 }
 
-// askProviders asks other boxes once. It returns false where the source has to be asked.
-func (f *follower) askProviders(ctx context.Context, p part, asked target) bool {
-	begun := clock.Now()
-	k, err := p.fetch(ctx, asked.missing)
+// queryProviders queries the other boxes once and reports whether one of them answered.
+func (f *follower) queryProviders(ctx context.Context, p part, requested target) bool {
+	startedAt := clock.Now()
+	pos, err := p.fetch(ctx, requested.changed)
 	if err != nil {
-		_ = level.Info(f.logger).Log("msg", "not had from another box", "part", f.name, "revision", f.known().revision, "wanted", asked.missing, "after", clock.Since(begun), "err", err, "outcome", "the source is asked")
+		_ = level.Info(f.logger).Log("msg", "copy from another box failed", "part", f.name, "revision", f.position().revision, "wanted", requested.changed, "after", clock.Since(startedAt), "err", err, "outcome", "querying the source")
 		return false
 	}
-	f.advance(k)
-	f.wasRead()
-	f.met(asked)
-	_ = level.Info(f.logger).Log("msg", "had from another box", "part", f.name, "revision", k.revision, "wanted", asked.missing, "after", clock.Since(begun))
+	f.advance(pos)
+	f.recordFullRead()
+	f.resolve(requested)
+	_ = level.Info(f.logger).Log("msg", "copied from another box", "part", f.name, "revision", pos.revision, "wanted", requested.changed, "after", clock.Since(startedAt))
 	return true
 }
 
 // fetch implements part.
-func (p *tablePart) fetch(ctx context.Context, least uint64) (known, error) {
-	c, err := p.providers.Table(ctx, p.directory.View().Table, least)
+func (p *tablePart) fetch(ctx context.Context, minRevision uint64) (position, error) {
+	c, err := p.providers.Table(ctx, p.directory.View().Table, minRevision)
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
-	p.directory.readTable(TableResult{Table: c.Table, Revision: c.Revision, Changed: c.Changed}, c.ConfirmedAt)
-	return known{revision: c.Revision, changed: c.Changed}, nil
+	p.directory.applyTable(TableResult{Table: c.Table, Revision: c.Revision, Changed: c.Changed}, c.ConfirmedAt)
+	return position{revision: c.Revision, changed: c.Changed}, nil
 }
 
 // fetch implements part.
-func (p *serversPart) fetch(ctx context.Context, least uint64) (known, error) {
-	c, err := p.providers.Servers(ctx, p.known(), least)
+func (p *serversPart) fetch(ctx context.Context, minRevision uint64) (position, error) {
+	c, err := p.providers.Servers(ctx, p.deltaBase(), minRevision)
 	if err != nil {
-		return known{}, err
+		return position{}, err
 	}
 	p.directory.SetEvacuations(c.Evacuations, c.ConfirmedAt)
 	if c.Delta != nil {
-		p.directory.applyCopied(*c.Delta)
+		p.directory.applyCopiedDelta(*c.Delta)
 	} else {
-		p.directory.takeList(c.Servers, c.Revision, c.ConfirmedAt)
+		p.directory.applyList(c.Servers, c.Revision, c.ConfirmedAt)
 	}
-	return known{revision: c.Revision, changed: c.Changed}, nil
+	return position{revision: c.Revision, changed: c.Changed}, nil
 }
 
-// known is the revision up to which changes of the list may be added to it; zero if the whole has
-// to be had.
-func (p *serversPart) known() uint64 {
-	if !p.directory.list.watchable() {
+// deltaBase returns the revision to which a delta of the list can be applied, or zero if the whole
+// list is needed.
+func (p *serversPart) deltaBase() uint64 {
+	if !p.directory.list.canWatch() {
 		return 0
 	}
-	return p.directory.list.known().revision
+	return p.directory.list.position().revision
 }
 
-// takeList takes a whole list in, known at a revision, and returns what it changes. Changes
-// may have come while it was on its way: an older list must not undo them.
-func (d *Directory) takeList(list []routing.Server, revision uint64, at time.Time) []ServerEvent {
-	d.applying.Lock()
-	defer d.applying.Unlock()
-	if k := d.list.known(); k.revision > revision {
-		_ = level.Info(d.logger).Log("msg", "list refused", "revision", revision, "known", k.revision, "reason", "a lower revision than the one that is known")
+// applyList replaces the list with one known at a revision, and returns the differences. It rejects
+// a list that changes received in the meantime have overtaken.
+func (d *Directory) applyList(list []routing.Server, revision uint64, at time.Time) []ServerEvent {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	if pos := d.list.position(); pos.revision > revision {
+		_ = level.Info(d.logger).Log("msg", "server list rejected", "revision", revision, "known", pos.revision, "reason", "revision is lower than the current one")
 		return nil
 	}
-	before := d.list.known().revision
+	before := d.list.position().revision
 	events := d.setServers(list, at)
 	if before == 0 {
-		d.history.begin(revision)
+		d.history.reset(revision)
 	} else {
-		d.history.jump(Delta{From: before, To: revision, Events: events})
+		d.history.addFullRead(Delta{From: before, To: revision, Events: events})
 	}
-	d.list.advance(known{revision: revision})
+	d.list.advance(position{revision: revision})
 	return events
 }
 
-// copyStep is how often a copy that is not there yet is looked for.
-const copyStep = 5 * time.Millisecond
+// copyPollInterval is how often awaitRevision checks the position.
+const copyPollInterval = 5 * time.Millisecond
 
-// TableCopy returns this box's table once it is known at a revision; ErrBehind if it is not
-// when ctx ends.
-func (d *Directory) TableCopy(ctx context.Context, least uint64) (TableCopy, error) {
-	if err := d.table.await(ctx, least); err != nil {
+// TableCopy returns this box's table once it has reached minRevision. If ctx ends first, the error
+// is ErrBehind or ErrLoading.
+func (d *Directory) TableCopy(ctx context.Context, minRevision uint64) (TableCopy, error) {
+	if err := d.table.awaitRevision(ctx, minRevision); err != nil {
 		return TableCopy{}, err
 	}
-	// The table is taken after what is known of it: it may be newer, and is never older.
-	k := d.table.known()
+	// The position is read before the table, which may then be newer but never older.
+	pos := d.table.position()
 	v := d.View()
-	return TableCopy{Table: v.Table, Revision: k.revision, Changed: k.changed, ConfirmedAt: v.TableConfirmedAt}, nil
+	return TableCopy{Table: v.Table, Revision: pos.revision, Changed: pos.changed, ConfirmedAt: v.TableConfirmedAt}, nil
 }
 
-// ListMetadata returns up to where this box knows the list, without the servers, once it is known at a
-// revision; ErrBehind if it is not when ctx ends.
-func (d *Directory) ListMetadata(ctx context.Context, least uint64) (ListCopy, error) {
-	if err := d.list.await(ctx, least); err != nil {
+// ListMetadata returns a copy of the list without servers or delta, once it has reached
+// minRevision. If ctx ends first, the error is ErrBehind or ErrLoading.
+func (d *Directory) ListMetadata(ctx context.Context, minRevision uint64) (ListCopy, error) {
+	if err := d.list.awaitRevision(ctx, minRevision); err != nil {
 		return ListCopy{}, err
 	}
-	d.applying.Lock()
-	defer d.applying.Unlock()
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listHead(), nil
+	return d.listMetadata(), nil
 }
 
-// listHead is a copy without servers. The caller holds applying and mu.
-func (d *Directory) listHead() ListCopy {
-	k := d.list.known()
-	return ListCopy{Revision: k.revision, Changed: k.changed, ConfirmedAt: d.view.Load().ServersConfirmedAt, Evacuations: d.evacuations}
+// listMetadata returns a copy without servers. The caller holds applyMu and mu.
+func (d *Directory) listMetadata() ListCopy {
+	pos := d.list.position()
+	return ListCopy{Revision: pos.revision, Changed: pos.changed, ConfirmedAt: d.view.Load().ServersConfirmedAt, Evacuations: d.evacuations}
 }
 
-// ListSince returns what has changed in the list since a revision; false where that is not known.
+// ListSince returns the changes of the list since a revision, or false if they are not all known.
 func (d *Directory) ListSince(since uint64) (ListCopy, bool) {
-	d.applying.Lock()
-	defer d.applying.Unlock()
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.listHead()
+	c := d.listMetadata()
 	events, ok := d.history.since(since)
 	if !ok || since == 0 {
 		return ListCopy{}, false
@@ -167,14 +167,13 @@
 	return c, true
 }
 
-// ListCopy returns this box's whole list as it is. Each call copies: a list of 9,845 servers takes
-// 2.2 MB.
+// ListCopy returns the whole list, newly allocated for each call.
 func (d *Directory) ListCopy() ListCopy {
-	d.applying.Lock()
-	defer d.applying.Unlock()
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.listHead()
+	c := d.listMetadata()
 	for _, id := range slices.Sorted(maps.Keys(d.servers)) {
 		if s := d.servers[id]; s.RemovedAt.IsZero() {
 			c.Servers = append(c.Servers, s.Server)
@@ -183,17 +182,17 @@
 	return c
 }
 
-// await waits until the part is there and known at a revision. Whoever asks for one knows
-// that the part has changed there. The error is ErrLoading or ErrBehind.
-func (f *follower) await(ctx context.Context, least uint64) error {
-	if least > 0 {
-		f.heardOf(0, least)
+// awaitRevision blocks until the part is loaded and has reached minRevision, at which the caller
+// knows that it changed. If ctx ends first, the error is ErrLoading or ErrBehind.
+func (f *follower) awaitRevision(ctx context.Context, minRevision uint64) error {
+	if minRevision > 0 {
+		f.observe(0, minRevision)
 	}
-	for !f.there() || f.known().revision < max(least, 1) {
+	for !f.loaded() || f.position().revision < max(minRevision, 1) {
 		switch {
 		case ctx.Err() == nil:
-			pause.For(ctx, copyStep)
-		case f.loading():
+			pause.For(ctx, copyPollInterval)
+		case f.isLoading():
 			return ErrLoading
 		default:
 			return ErrBehind
@@ -202,9 +201,9 @@
 	return nil
 }
 
-// loading tells whether what is lacking is being read, and nothing speaks against it.
-func (f *follower) loading() bool {
+// isLoading reports whether a query is in progress and the last one did not fail.
+func (f *follower) isLoading() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asking && f.failures == 0
+	return f.querying && f.consecutiveFailures == 0
 }
--- a/pkg/directory/providers_test.go
+++ b/pkg/directory/providers_test.go
@@ -15,72 +15,74 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// nobody is the providers of a box that is alone.
-type nobody struct{}
+// noProviders are the providers of a box without peers.
+type noProviders struct{}
 
-func (nobody) Table(context.Context, *routing.Table, uint64) (TableCopy, error) {
+func (noProviders) Table(context.Context, *routing.Table, uint64) (TableCopy, error) {
 	return TableCopy{}, ErrNoProvider
 }
 
-func (nobody) Servers(context.Context, uint64, uint64) (ListCopy, error) {
+func (noProviders) Servers(context.Context, uint64, uint64) (ListCopy, error) {
 	return ListCopy{}, ErrNoProvider
 }
 
-// alone follows a source as a box that knows no other and reads for none.
-func alone(source Source, t Timing) FollowOptions {
-	return FollowOptions{Source: source, Providers: nobody{}, Timing: t, Reader: func() bool { return false }}
+// standalone returns the options of a non-reader without peers.
+func standalone(source Source, t Timing) FollowOptions {
+	return FollowOptions{Source: source, Providers: noProviders{}, Timing: t, Reader: func() bool { return false }}
 }
 
-// oneProvider is a box that is asked by another.
+// oneProvider serves copies from a single box.
 type oneProvider struct {
 	*Directory
-	patience time.Duration
+	timeout time.Duration
 }
 
-func (n oneProvider) Table(ctx context.Context, _ *routing.Table, least uint64) (TableCopy, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.patience)
+func (p oneProvider) Table(ctx context.Context, _ *routing.Table, minRevision uint64) (TableCopy, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	return n.TableCopy(ctx, least)
+	return p.TableCopy(ctx, minRevision)
 }
 
-func (n oneProvider) Servers(ctx context.Context, since, least uint64) (ListCopy, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.patience)
+func (p oneProvider) Servers(ctx context.Context, since, minRevision uint64) (ListCopy, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	if _, err := n.ListMetadata(ctx, least); err != nil {
+	if _, err := p.ListMetadata(ctx, minRevision); err != nil {
 		return ListCopy{}, err
 	}
-	return copySince(n.Directory, since), nil
+	return copySince(p.Directory, since), nil
 }
 
-// deadSource answers nothing.
-type deadSource struct{}
+// failingSource fails all requests.
+type failingSource struct{}
 
-var errDead = errors.New("dead")
+var errSourceFailed = errors.New("source failed")
 
-func (deadSource) ReadTable(context.Context) (TableResult, error) { return TableResult{}, errDead }
-func (deadSource) WatchTable(context.Context, uint64, time.Duration, int) (TableResult, error) {
-	return TableResult{}, errDead
+func (failingSource) ReadTable(context.Context) (TableResult, error) {
+	return TableResult{}, errSourceFailed
 }
-func (deadSource) ReadServers(context.Context, string, bool) (ServersPage, error) {
-	return ServersPage{}, errDead
+func (failingSource) WatchTable(context.Context, uint64, time.Duration, int) (TableResult, error) {
+	return TableResult{}, errSourceFailed
 }
-func (deadSource) ReadEvacuations(context.Context) (Evacuations, error) {
-	return Evacuations{}, errDead
+func (failingSource) ReadServers(context.Context, string, bool) (ServersPage, error) {
+	return ServersPage{}, errSourceFailed
+}
+func (failingSource) ReadEvacuations(context.Context) (Evacuations, error) {
+	return Evacuations{}, errSourceFailed
 }
 
-func (deadSource) WatchServers(context.Context, uint64, time.Duration) (ServerChanges, error) {
-	return ServerChanges{}, errDead
+func (failingSource) WatchServers(context.Context, uint64, time.Duration) (ServerChanges, error) {
+	return ServerChanges{}, errSourceFailed
 }
 
-// followProvider runs f with a box that can ask only one other.
-func followProvider(t *testing.T, other *Directory, f func(*Directory)) {
+// followProvider calls f with a box whose only peer is provider and whose source fails.
+func followProvider(t *testing.T, provider *Directory, f func(*Directory)) {
 	d := New(log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		x := alone(deadSource{}, testTiming())
-		x.Providers = oneProvider{other, time.Second}
-		d.Follow(ctx, x)
+		opts := standalone(failingSource{}, testTiming())
+		opts.Providers = oneProvider{provider, time.Second}
+		d.Follow(ctx, opts)
 		close(done)
 	}()
 	f(d)
@@ -88,35 +90,35 @@
 	<-done
 }
 
-// A box learns all it needs from another, though the source is away.
-func TestBoxLearnsFromAnother(t *testing.T) {
+// A box must load and follow both parts from a peer while the source is unavailable.
+func TestBoxLoadsFromProvider(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		other := knowing(tableOf(3, "a"), 5)
-		other.setServers([]routing.Server{{ID: "s", Service: "x"}, {ID: "t", Service: "x", Leaving: true}}, time.Now())
-		followProvider(t, other, func(d *Directory) {
+		provider := directoryAt(tableOf(3, "a"), 5)
+		provider.setServers([]routing.Server{{ID: "s", Service: "x"}, {ID: "t", Service: "x", Leaving: true}}, time.Now())
+		followProvider(t, provider, func(d *Directory) {
 			time.Sleep(time.Second)
 			require.True(t, d.Loaded())
-			assert.Equal(t, other.View().Table, d.View().Table)
-			assert.Equal(t, other.listed(), d.listed())
-			assert.Equal(t, other.View().TableConfirmedAt, d.View().TableConfirmedAt, "what is copied is as old as it was")
-			other.setTable(tableOf(9, "b"), time.Now())
-			other.setServers([]routing.Server{{ID: "u", Service: "x"}}, time.Now())
+			assert.Equal(t, provider.View().Table, d.View().Table)
+			assert.Equal(t, provider.listed(), d.listed())
+			assert.Equal(t, provider.View().TableConfirmedAt, d.View().TableConfirmedAt, "a copy keeps its confirmation time")
+			provider.setTable(tableOf(9, "b"), time.Now())
+			provider.setServers([]routing.Server{{ID: "u", Service: "x"}}, time.Now())
 			go func() {
 				time.Sleep(300 * time.Millisecond)
-				other.table.advance(known{revision: 7, changed: 7})
-				other.list.advance(known{revision: 7, changed: 7})
+				provider.table.advance(position{revision: 7, changed: 7})
+				provider.list.advance(position{revision: 7, changed: 7})
 			}()
 			d.ApplyNotification(Notification{TableChanged: 7, ServersChanged: 7})
 			time.Sleep(time.Second)
-			assert.Equal(t, uint64(9), d.View().Table.Version, "it waits until the other has it")
-			assert.Equal(t, other.listed(), d.listed())
+			assert.Equal(t, uint64(9), d.View().Table.Version, "the copy waits until the provider reaches the revision")
+			assert.Equal(t, provider.listed(), d.listed())
 			assert.Equal(t, target{}, d.table.target())
 		})
 	})
 }
 
-// A box that is behind, or nobody, is no reason to stay behind.
-func TestSourceIsAskedWhereOthersAreBehind(t *testing.T) {
+// Providers that are behind, or a lack of providers, must not keep a box behind.
+func TestSourceIsQueriedIfProvidersAreBehind(t *testing.T) {
 	source := &fakeSource{events: []ServerEvent{{Server: routing.Server{ID: "a", Service: "s"}}}}
 	withFollower(t, source, func(ctx context.Context, d *Directory) {
 		_, err := oneProvider{New(log.NewNopLogger()), time.Millisecond}.Table(ctx, nil, 0)
@@ -125,49 +127,48 @@
 	})
 }
 
-// A list that was on its way while changes came must not undo them.
+// A list that deltas have overtaken must not undo them.
 func TestListOnItsWayUndoesNothing(t *testing.T) {
-	d := knowing(tableOf(3, "a"), 5)
+	d := directoryAt(tableOf(3, "a"), 5)
 	d.ApplyDelta(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: routing.Server{ID: "new", Service: "s"}}}})
-	assert.Empty(t, d.takeList(nil, 7, time.Now()))
+	assert.Empty(t, d.applyList(nil, 7, time.Now()))
 	assert.Len(t, d.listed(), 1)
-	assert.Len(t, d.takeList(nil, 9, time.Now()), 1)
+	assert.Len(t, d.applyList(nil, 9, time.Now()), 1)
 	assert.Empty(t, d.listed())
-	assert.Equal(t, uint64(9), d.list.known().revision)
+	assert.Equal(t, uint64(9), d.list.position().revision)
 }
 
-// longSource has no history for whoever watches.
-type longSource struct{ *simulatedBox }
+// noHistorySource rejects all watches as too long.
+type noHistorySource struct{ *simulatedBox }
 
-func (s longSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, _ int) (TableResult, error) {
+func (s noHistorySource) WatchTable(ctx context.Context, after uint64, wait time.Duration, _ int) (TableResult, error) {
 	if _, err := s.simulatedBox.WatchTable(ctx, after, wait, math.MaxInt); err != nil {
 		return TableResult{}, err
 	}
 	return TableResult{}, ErrHistoryTooLong
 }
 
-// A reader that has to read the whole, as what its watch would tell is too long, tells the
-// others all the same.
+// A reader whose watch is too long and that reads in full must still notify the other boxes.
 func TestWholeReadInPlaceOfAWatchIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &history{t: t, begun: time.Now(), store: newStore(routeBytes)}
-		h.store.change(tableOf(1, "first"))
-		d := New(h.logger(0))
-		told := make(chan Notification, 8)
-		d.OnNotification(func(n Notification) { told <- n })
+		sim := &simulation{t: t, startedAt: time.Now(), store: newStore(routeBytes)}
+		sim.store.change(tableOf(1, "first"))
+		d := New(sim.logger(0))
+		received := make(chan Notification, 8)
+		d.OnNotification(func(n Notification) { received <- n })
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			x := alone(longSource{&simulatedBox{history: h, speed: slowLink}}, historyTiming)
-			x.Reader = func() bool { return true }
-			d.Follow(ctx, x)
+			opts := standalone(noHistorySource{&simulatedBox{sim: sim, bytesPerSec: slowLinkBytesPerSec}}, simulationTiming)
+			opts.Reader = func() bool { return true }
+			d.Follow(ctx, opts)
 			close(done)
 		}()
 		time.Sleep(time.Second)
-		h.store.change(tableOf(2, "second"))
+		sim.store.change(tableOf(2, "second"))
 		time.Sleep(time.Second)
-		require.Len(t, told, 1)
-		assert.Equal(t, uint64(2), (<-told).TableChanged)
+		require.Len(t, received, 1)
+		assert.Equal(t, uint64(2), (<-received).TableChanged)
 		cancel()
 		<-done
 	})
--- a/pkg/directory/share.go
+++ b/pkg/directory/share.go
@@ -9,141 +9,138 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Check is what is known of the source at a moment: its revision, and at which
-// revision each part changed last, up to that one.
+// Check is the result of a verification: the source's revision, and the revision at which each part
+// had last changed.
 type Check struct {
-	// AskedAt is when the source was asked: what it said is no older.
+	// AskedAt is when the source was queried, so its answer is at least as recent.
 	AskedAt        time.Time
 	Revision       uint64
 	TableChanged   uint64
 	ServersChanged uint64
 }
 
-// Delta is what changed in the list of servers between two revisions.
+// Delta holds the changes of the list of servers between two revisions.
 type Delta struct {
 	From, To uint64
 	Events   []ServerEvent
 }
 
-// Verify brings both parts up to a revision that the source had when it was asked.
-// What it finds changed is told to the other boxes. It returns what they may rely on;
-// false if the source did not answer in time.
-func (d *Directory) Verify(ctx context.Context, revision uint64, asked time.Time, t Timing) (Check, bool) {
-	d.verifying.Add(1)
-	defer d.verifying.Add(-1)
+// Verify brings both parts up to a revision that the source had at askedAt, and notifies the other
+// boxes of changes. It returns the check to broadcast, or false if the parts did not get there
+// within MaxLag.
+func (d *Directory) Verify(ctx context.Context, revision uint64, askedAt time.Time, t Timing) (Check, bool) {
+	d.verifications.Add(1)
+	defer d.verifications.Add(-1)
 	for _, f := range []*follower{d.table, d.list} {
-		f.reach(revision)
+		f.requireRevision(revision)
 	}
 	end := clock.Now().Add(t.MaxLag)
-	for d.table.known().revision < revision || d.list.known().revision < revision {
+	for d.table.position().revision < revision || d.list.position().revision < revision {
 		if ctx.Err() != nil || clock.Now().After(end) {
 			return Check{}, false
 		}
-		pause.For(ctx, verifyStep)
+		pause.For(ctx, verifyPollInterval)
 	}
-	d.confirm(revision, asked)
+	d.confirm(revision, askedAt)
 	return Check{
-		AskedAt: asked, Revision: revision,
-		TableChanged: d.table.known().changed, ServersChanged: d.list.known().changed,
+		AskedAt: askedAt, Revision: revision,
+		TableChanged: d.table.position().changed, ServersChanged: d.list.position().changed,
 	}, true
 }
 
-// verifyStep is how often Verify looks.
-const verifyStep = 5 * time.Millisecond
+// verifyPollInterval is how often Verify checks the positions.
+const verifyPollInterval = 5 * time.Millisecond
 
-// ApplyCheck takes in what another box has verified. A part that has not changed since
-// this box knew it is confirmed, another one is asked for.
+// ApplyCheck applies the check of another box: it confirms a part that has not changed and queries
+// one that has.
 func (d *Directory) ApplyCheck(c Check) {
-	d.table.heardOf(c.Revision, c.TableChanged)
-	d.list.heardOf(c.Revision, c.ServersChanged)
+	d.table.observe(c.Revision, c.TableChanged)
+	d.list.observe(c.Revision, c.ServersChanged)
 	d.confirm(c.Revision, c.AskedAt)
 }
 
-// ApplyDelta takes a delta in if it follows on what this box knows. Deltas come from this
-// box's own watch and from others: an older one must not undo a newer.
+// ApplyDelta applies a delta if it continues the current position. Deltas come from this box's
+// watch and from other boxes, in any order, so older ones are ignored.
 func (d *Directory) ApplyDelta(delta Delta) { d.apply(delta, d.history.add) }
 
-// applyCopied is Apply for what another box tells of the changes since a revision. It may have read
-// the whole list meanwhile.
-func (d *Directory) applyCopied(delta Delta) { d.apply(delta, d.history.jump) }
+// applyCopiedDelta applies a delta copied from another box, which may span a full read.
+func (d *Directory) applyCopiedDelta(delta Delta) { d.apply(delta, d.history.addFullRead) }
 
-// apply takes a delta in, and keeps it.
+// apply applies a delta and records it in the history.
 func (d *Directory) apply(delta Delta, keep func(Delta)) {
-	d.applying.Lock()
-	defer d.applying.Unlock()
-	if !d.list.covers(delta) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	if !d.list.extendedBy(delta) {
 		return
 	}
 	d.changeServers(delta.Events, clock.Now())
 	keep(delta)
-	k := known{revision: delta.To}
+	pos := position{revision: delta.To}
 	if len(delta.Events) > 0 {
-		k.changed = delta.To
+		pos.changed = delta.To
 	}
-	d.list.advance(k)
+	d.list.advance(pos)
 }
 
-// Notification is what a box has seen before the others: a change of the table, or of the
-// list.
+// Notification announces a change of the table or of the list to the other boxes.
 type Notification struct {
 	// TableChanged is the revision of the new table, zero for none.
 	TableChanged uint64
-	// TableDelta leads to the new table from the one before; nil if there was none.
+	// TableDelta leads from the previous table to the new one; nil if there was none.
 	TableDelta *routing.Delta
-	// ServersDelta is what has changed in the list; nil where nothing has, or where only the
-	// revision is told at which it has.
+	// ServersDelta holds the changes of the list. If it is nil, ServersChanged may still name the
+	// revision at which the list changed.
 	ServersDelta   *Delta
 	ServersChanged uint64
-	// Evacuations are all halls that are evacuated, as the source said when it was asked; nil where
-	// nothing is told of them.
+	// Evacuations is the whole set of evacuated halls as of EvacuationsAskedAt; nil for no
+	// information.
 	Evacuations        *Evacuations
 	EvacuationsAskedAt time.Time
 }
 
-// OnNotification sets who is told of changes that this box sees first.
-func (d *Directory) OnNotification(f func(Notification)) { d.onNotice = f }
+// OnNotification sets the function that broadcasts the changes this box sees first.
+func (d *Directory) OnNotification(f func(Notification)) { d.onNotification = f }
 
-// tellTable tells of a new table if this box is ahead of the others.
-func (d *Directory) tellTable(before *routing.Table, read TableResult, wait time.Duration) {
-	if read.Table == nil || !d.ahead(wait) {
+// notifyTable announces a new table that the other boxes may not know yet.
+func (d *Directory) notifyTable(before *routing.Table, result TableResult, wait time.Duration) {
+	if result.Table == nil || !d.shouldNotify(wait) {
 		return
 	}
-	n := Notification{TableChanged: read.Changed}
-	if before != nil && before.Version < read.Table.Version {
-		delta := routing.Diff(before, read.Table)
+	n := Notification{TableChanged: result.Changed}
+	if before != nil && before.Version < result.Table.Version {
+		delta := routing.Diff(before, result.Table)
 		n.TableDelta = &delta
 	}
-	d.onNotice(n)
+	d.onNotification(n)
 }
 
-// tellServers tells of a change of the list if this box is ahead of the others.
-func (d *Directory) tellServers(delta Delta, wait time.Duration) {
-	if len(delta.Events) > 0 && d.ahead(wait) {
-		d.onNotice(Notification{ServersDelta: &delta})
+// notifyServers announces changes of the list that the other boxes may not know yet.
+func (d *Directory) notifyServers(delta Delta, wait time.Duration) {
+	if len(delta.Events) > 0 && d.shouldNotify(wait) {
+		d.onNotification(Notification{ServersDelta: &delta})
 	}
 }
 
-// ReadEvacuations asks a source which halls are evacuated, and tells the other boxes what has
+// ReadEvacuations reads the evacuated halls from a source and notifies the other boxes if they
 // changed.
-func (d *Directory) ReadEvacuations(ctx context.Context, source Source, asked time.Time) error {
+func (d *Directory) ReadEvacuations(ctx context.Context, source Source, askedAt time.Time) error {
 	evacuations, err := source.ReadEvacuations(ctx)
 	if err != nil {
 		return err
 	}
-	if d.SetEvacuations(evacuations, asked) && d.onNotice != nil {
-		d.onNotice(Notification{Evacuations: &evacuations, EvacuationsAskedAt: asked})
+	if d.SetEvacuations(evacuations, askedAt) && d.onNotification != nil {
+		d.onNotification(Notification{Evacuations: &evacuations, EvacuationsAskedAt: askedAt})
 	}
 	return nil
 }
 
-// ahead tells whether what is read now is news for the others: it is for a watch that
-// waits, and while this box checks the source for all. Who asks briefly otherwise was
-// told by somebody.
-func (d *Directory) ahead(wait time.Duration) bool {
-	return d.onNotice != nil && (wait > briefly || d.verifying.Load() > 0)
+// shouldNotify reports whether the other boxes may not know yet what was read: that holds for a
+// watch that waits, and during Verify. Other short polls follow a notification.
+func (d *Directory) shouldNotify(wait time.Duration) bool {
+	return d.onNotification != nil && (wait > pollWait || d.verifications.Load() > 0)
 }
 
-// ApplyNotification takes in what another box has seen.
+// ApplyNotification applies a notification from another box.
 func (d *Directory) ApplyNotification(n Notification) {
 	if n.Evacuations != nil {
 		d.SetEvacuations(*n.Evacuations, n.EvacuationsAskedAt)
@@ -152,12 +149,12 @@
 		d.ApplyDelta(*n.ServersDelta)
 	}
 	if n.TableDelta != nil {
-		d.noticedTable(tableDelta{Delta: *n.TableDelta, changed: n.TableChanged})
+		d.applyTableDelta(tableDelta{Delta: *n.TableDelta, changed: n.TableChanged})
 	}
 	if n.TableChanged > 0 {
-		d.table.heardOf(0, n.TableChanged)
+		d.table.observe(0, n.TableChanged)
 	}
 	if n.ServersChanged > 0 {
-		d.list.heardOf(0, n.ServersChanged)
+		d.list.observe(0, n.ServersChanged)
 	}
 }
--- a/pkg/directory/share_test.go
+++ b/pkg/directory/share_test.go
@@ -20,75 +20,75 @@
 	return routing.NewTable(c)
 }
 
-// knowing returns a directory that knows a table and the list at a revision.
-func knowing(t *routing.Table, revision uint64) *Directory {
+// directoryAt returns a directory with a table and an empty list at a revision.
+func directoryAt(t *routing.Table, revision uint64) *Directory {
 	d := New(log.NewNopLogger())
 	d.setTable(t, time.Now())
 	d.setServers(nil, time.Now())
-	d.table.advance(known{revision: revision, changed: revision})
-	d.list.advance(known{revision: revision, changed: revision})
+	d.table.advance(position{revision: revision, changed: revision})
+	d.list.advance(position{revision: revision, changed: revision})
 	return d
 }
 
-func (f *follower) isHurried() bool {
+func (f *follower) hasPendingRevision() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open.wanted > 0
+	return f.pending.revision > 0
 }
 
-// A box that checks the source tells the others what has changed, so that they need
-// not ask.
+// A box that verifies the source broadcasts the table's changes, so that others need not query.
 func TestNewTableIsTakenFromAnothersWord(t *testing.T) {
-	one, two, other := knowing(tableOf(3, "a"), 5), knowing(tableOf(3, "a"), 5), knowing(tableOf(3, "x"), 5)
-	var told []Notification
-	one.OnNotification(func(n Notification) { told = append(told, n) })
-	before, next := one.View().Table, tableOf(8, "a", "b")
-	one.setTable(next, time.Now())
-	one.tellTable(before, TableResult{Table: next, Changed: 9}, briefly)
-	require.Empty(t, told, "who only asks what he was told of tells nobody")
+	sender, receiver, unrelated := directoryAt(tableOf(3, "a"), 5), directoryAt(tableOf(3, "a"), 5), directoryAt(tableOf(3, "x"), 5)
+	var received []Notification
+	sender.OnNotification(func(n Notification) { received = append(received, n) })
+	before, next := sender.View().Table, tableOf(8, "a", "b")
+	sender.setTable(next, time.Now())
+	sender.notifyTable(before, TableResult{Table: next, Changed: 9}, pollWait)
+	require.Empty(t, received, "a short poll after a notification is not announced")
 
-	one.verifying.Add(1)
-	one.tellTable(before, TableResult{Table: next, Changed: 9}, briefly)
-	require.Len(t, told, 1)
-	two.ApplyNotification(told[0])
-	assert.Equal(t, uint64(8), two.View().Table.Version)
-	assert.Equal(t, known{revision: 9, changed: 9}, two.table.known())
-	assert.False(t, two.table.isHurried(), "it need not ask")
+	sender.verifications.Add(1)
+	sender.notifyTable(before, TableResult{Table: next, Changed: 9}, pollWait)
+	require.Len(t, received, 1)
+	receiver.ApplyNotification(received[0])
+	assert.Equal(t, uint64(8), receiver.View().Table.Version)
+	assert.Equal(t, position{revision: 9, changed: 9}, receiver.table.position())
+	assert.False(t, receiver.table.hasPendingRevision(), "no query is needed")
 
-	other.ApplyNotification(told[0])
-	assert.Equal(t, uint64(3), other.View().Table.Version, "it leads from another table")
-	assert.True(t, other.table.isHurried(), "it has to ask")
+	unrelated.ApplyNotification(received[0])
+	assert.Equal(t, uint64(3), unrelated.View().Table.Version, "the delta has another base table")
+	assert.True(t, unrelated.table.hasPendingRevision(), "a query is needed")
 
-	two.setTable(tableOf(11, "c"), time.Now())
-	two.table.advance(known{revision: 12, changed: 12})
-	two.ApplyNotification(told[0])
-	assert.Equal(t, uint64(11), two.View().Table.Version, "a late word undoes nothing")
-	assert.False(t, two.table.isHurried())
+	receiver.setTable(tableOf(11, "c"), time.Now())
+	receiver.table.advance(position{revision: 12, changed: 12})
+	receiver.ApplyNotification(received[0])
+	assert.Equal(t, uint64(11), receiver.View().Table.Version, "a late notification must not undo newer changes")
+	assert.False(t, receiver.table.hasPendingRevision())
 }
 
-// Where history is lost the checker reads the whole list. What differs is told.
-func TestListReadAgainIsToldAsADelta(t *testing.T) {
+// A verifying box that lost the history reads the whole list, and must notify the others of the
+// differences.
+func TestFullReadIsNotifiedAsDelta(t *testing.T) {
 	source := &fakeSource{events: []ServerEvent{
 		{Server: routing.Server{ID: "kept", Service: "s"}}, {Server: routing.Server{ID: "gone", Service: "s"}},
 	}}
-	one, two := New(log.NewNopLogger()), New(log.NewNopLogger())
-	for _, d := range []*Directory{one, two} {
-		k, err := (&serversPart{directory: d, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
+	sender, receiver := New(log.NewNopLogger()), New(log.NewNopLogger())
+	for _, d := range []*Directory{sender, receiver} {
+		pos, err := (&serversPart{directory: d, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
 		require.NoError(t, err)
-		d.list.advance(k)
+		d.list.advance(pos)
 	}
 	source.events = append(source.events, ServerEvent{Server: routing.Server{ID: "gone"}, Removed: true}, ServerEvent{Server: routing.Server{ID: "new", Service: "s"}})
-	var told []Notification
-	one.OnNotification(func(n Notification) { told = append(told, n) })
-	one.verifying.Add(1)
-	one.list.forget()
-	require.False(t, one.list.watchable())
-	_, err := (&serversPart{directory: one, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
+	var received []Notification
+	sender.OnNotification(func(n Notification) { received = append(received, n) })
+	sender.verifications.Add(1)
+	sender.list.requireFullRead()
+	require.False(t, sender.list.canWatch())
+	_, err := (&serversPart{directory: sender, source: source, timing: Timing{AnswerTimeout: time.Second}}).read(context.Background(), time.Now())
 	require.NoError(t, err)
-	require.Len(t, told, 1)
+	require.Len(t, received, 1)
 	calls := source.calls
-	two.ApplyNotification(told[0])
-	assert.Equal(t, one.listed(), two.listed())
-	assert.Equal(t, uint64(5), two.list.known().revision)
+	receiver.ApplyNotification(received[0])
+	assert.Equal(t, sender.listed(), receiver.listed())
+	assert.Equal(t, uint64(5), receiver.list.position().revision)
 	assert.Equal(t, calls, source.calls)
 }
--- a/pkg/directory/simulation_test.go
+++ b/pkg/directory/simulation_test.go
@@ -21,56 +21,55 @@
 )
 
 const (
-	// historyBoxes are the boxes of a history, the first two of them with fast links.
-	historyBoxes = 8
-	fastLink     = 200_000_000 / 8 // bytes a second
-	slowLink     = 10_000_000 / 8
-	storeLink    = 1_000_000_000 / 8
-	// largeTable is a table that a slow link carries in 0.88 s.
-	largeTable = 1_100_000
-	// contact is how long a box must have been in touch to be judged.
-	contact = 4 * time.Second
-	applied = 3 * time.Second
-	// checkEvery and checkSpread are when a box checks the source, as in routerd.
-	checkEvery  = applied * 45 / 100
-	checkSpread = applied * 20 / 100
-	// readersOfHistories are the boxes that read the store, hallsOfHistories the halls in
-	// which boxes stand by turns.
-	readersOfHistories = 2
-	hallsOfHistories   = 5
-	// packed is how many times shorter a table is between boxes than in the store's answers:
+	// simulationBoxes is the number of boxes; the first simulationReaders have fast links.
+	simulationBoxes      = 8
+	fastLinkBytesPerSec  = 200_000_000 / 8
+	slowLinkBytesPerSec  = 10_000_000 / 8
+	storeLinkBytesPerSec = 1_000_000_000 / 8
+	// largeTableBytes is the size of a table that a slow link transfers in 0.88 s.
+	largeTableBytes = 1_100_000
+	// settleTime is how long a box must have been connected before it has to be up to date.
+	settleTime = 4 * time.Second
+	applyBound = 3 * time.Second
+	// checkEvery and checkSpread are the interval and jitter of source checks, as in routerd.
+	checkEvery  = applyBound * 45 / 100
+	checkSpread = applyBound * 20 / 100
+	// simulationReaders is the number of boxes that read the store, simulationHalls the number of
+	// halls over which boxes are spread.
+	simulationReaders = 2
+	simulationHalls   = 5
+	// compressionRatio is the size of a table in the store's answers relative to that between boxes,
 	// see BenchmarkTableBytes of pkg/snapshot.
-	packed = 8
-	// transfer is how long a slow link takes for a table.
-	transfer = time.Second * largeTable / slowLink
-	// inForceLeast is the time within which a change is in force also where no box that
-	// watches is in touch: a check finds it, and two boxes read it one after the other.
-	inForceLeast = checkEvery + checkSpread + 2*transfer + 500*time.Millisecond
+	compressionRatio = 8
+	// slowTransfer is how long a slow link takes for a table.
+	slowTransfer = time.Second * largeTableBytes / slowLinkBytesPerSec
+	// propagationBound is the time in which a change must reach all boxes if no watching box is
+	// connected: a check discovers it, and two boxes read it in sequence.
+	propagationBound = checkEvery + checkSpread + 2*slowTransfer + 500*time.Millisecond
 )
 
-var historyTiming = Timing{
+var simulationTiming = Timing{
 	WatchWait: 20 * time.Second, AnswerTimeout: 700 * time.Millisecond, MaxAnswerTime: 5 * time.Minute,
-	MaxLag: applied * 50 / 100, BatchDelay: applied * 10 / 100,
-	InitialBackoff: applied * 3 / 100, MaxBackoff: applied * 60 / 100,
+	MaxLag: applyBound * 50 / 100, BatchDelay: applyBound * 10 / 100,
+	InitialBackoff: applyBound * 3 / 100, MaxBackoff: applyBound * 60 / 100,
 }
 
-// version is one version of the table in a history.
+// version is one version of the table.
 type version struct {
-	table    *routing.Table
-	revision uint64
-	made     time.Time
+	table     *routing.Table
+	revision  uint64
+	createdAt time.Time
 }
 
-// store is the source that all boxes of a history ask.
+// store is the simulated source.
 type store struct {
-	mu       sync.Mutex
-	versions []version
-	changed  chan struct{}
-	// tableBytes is the length of a table.
+	mu         sync.Mutex
+	versions   []version
+	changed    chan struct{}
 	tableBytes int
 
-	// transfers are the answers under way, which share the store's link; calls and bytes
-	// count what was asked and sent.
+	// transfers counts the answers in flight, which share the store's link; calls and bytes count
+	// requests and sent bytes.
 	transfers, calls, bytes atomic.Int64
 }
 
@@ -93,7 +92,7 @@
 func (s *store) change(table *routing.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.versions = append(s.versions, version{table: table, revision: uint64(len(s.versions) + 1), made: time.Now()})
+	s.versions = append(s.versions, version{table: table, revision: uint64(len(s.versions) + 1), createdAt: time.Now()})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -110,73 +109,72 @@
 	return s.versions[len(s.versions)-1]
 }
 
-// due is the newest version made before a time.
-func (s *store) due(before time.Time) uint64 {
+// dueVersion returns the newest version created before a time.
+func (s *store) dueVersion(before time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := uint64(0)
 	for _, v := range s.versions {
-		if v.made.Before(before) {
+		if v.createdAt.Before(before) {
 			due = v.table.Version
 		}
 	}
 	return due
 }
 
-// storedFor is how long the store keeps history.
-const storedFor = 20 * time.Second
+// historyRetention is how long the store keeps its history.
+const historyRetention = 20 * time.Second
 
-// simulatedBox is one box of a history, with its way to the store.
+// simulatedBox is one box of a simulation, with its link to the store.
 type simulatedBox struct {
-	history *history
-	number  int
-	speed   int
-	stop    func()
+	sim         *simulation
+	number      int
+	bytesPerSec int
+	stop        func()
 
 	mu        sync.Mutex
 	directory *Directory
-	// inTouch is since when the box is in touch; zero while it is not.
-	inTouch time.Time
-	// refused and cut are the troubles of now: the store refuses this box; nothing reaches
-	// it or leaves it.
-	refused, cut bool
-	heard        time.Time
-	seen         uint64
-	// providers are the boxes to ask, uploads the answers to others that are under way.
+	// connectedSince is zero while the box is failing.
+	connectedSince time.Time
+	// rejected makes the store reject the box's requests; isolated drops all traffic of the box.
+	rejected, isolated bool
+	lastCheck          time.Time
+	highestVersion     uint64
+	// providers are the boxes to query, uploads counts the answers to others in flight.
 	providers []*simulatedBox
 	uploads   atomic.Int64
 }
 
-var errRefused = errors.New("refused")
+var errRejected = errors.New("rejected by the store")
 
-// reach waits for the store's answer to begin.
-func (b *simulatedBox) reach(ctx context.Context) error {
-	b.history.store.calls.Add(1)
+// roundTrip waits for the first byte of the store's answer.
+func (b *simulatedBox) roundTrip(ctx context.Context) error {
+	b.sim.store.calls.Add(1)
 	pause.For(ctx, 4*time.Millisecond)
-	return b.troubled(ctx)
+	return b.faultError(ctx)
 }
 
-// troubled returns how a trouble of now ends an exchange.
-func (b *simulatedBox) troubled(ctx context.Context) error {
+// faultError returns the error of an exchange under the current fault.
+func (b *simulatedBox) faultError(ctx context.Context) error {
 	b.mu.Lock()
-	refused, cut := b.refused, b.cut
+	rejected, isolated := b.rejected, b.isolated
 	b.mu.Unlock()
 	switch {
-	case cut:
+	case isolated:
 		<-ctx.Done()
 		return context.Cause(ctx)
-	case refused:
-		return errRefused
+	case rejected:
+		return errRejected
 	}
 	return context.Cause(ctx)
 }
 
-// carry transfers an answer of the store over the box's link.
-func (b *simulatedBox) carry(ctx context.Context, bytes int) error {
-	s := b.history.store
+// transferAnswer transfers an answer of the store over the box's link.
+func (b *simulatedBox) transferAnswer(ctx context.Context, bytes int) error {
+	s := b.sim.store
 	s.transfers.Add(1)
 	defer s.transfers.Add(-1)
-	return transferOver(&linkReader{ctx: ctx, box: b, left: bytes, share: func() int { return int(storeLink / s.transfers.Load()) }, sent: &s.bytes})
+	return transferOver(&linkReader{ctx: ctx, box: b, remaining: bytes, share: func() int { return int(storeLinkBytesPerSec / s.transfers.Load()) }, sent: &s.bytes})
 }
 
 func transferOver(r *linkReader) error {
@@ -184,42 +182,42 @@
 	return err
 }
 
-// linkReader gives an answer's bytes at the speed of a box's link, or of the sender's share.
+// linkReader reads an answer at the speed of a box's link or of its share of the sender's link.
 type linkReader struct {
-	ctx   context.Context
-	box   *simulatedBox
-	left  int
-	share func() int
-	sent  *atomic.Int64
+	ctx       context.Context
+	box       *simulatedBox
+	remaining int
+	share     func() int
+	sent      *atomic.Int64
 }
 
 func (r *linkReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	if err := r.box.troubled(r.ctx); err != nil {
+	if err := r.box.faultError(r.ctx); err != nil {
 		return 0, err
 	}
-	n := min(r.left, len(p), 32<<10)
-	pause.For(r.ctx, time.Duration(n)*time.Second/time.Duration(min(r.box.speed, r.share())))
+	n := min(r.remaining, len(p), 32<<10)
+	pause.For(r.ctx, time.Duration(n)*time.Second/time.Duration(min(r.box.bytesPerSec, r.share())))
 	r.sent.Add(int64(n))
-	r.left -= n
+	r.remaining -= n
 	return n, context.Cause(r.ctx)
 }
 
 func (b *simulatedBox) ReadTable(ctx context.Context) (TableResult, error) {
-	if err := b.reach(ctx); err != nil {
+	if err := b.roundTrip(ctx); err != nil {
 		return TableResult{}, err
 	}
-	v, bytes := b.history.store.newest(), b.history.store.tableLength()
-	return TableResult{Table: v.table, Revision: v.revision, Changed: v.revision, Bytes: bytes}, b.carry(ctx, bytes)
+	v, bytes := b.sim.store.newest(), b.sim.store.tableLength()
+	return TableResult{Table: v.table, Revision: v.revision, Changed: v.revision, Bytes: bytes}, b.transferAnswer(ctx, bytes)
 }
 
-func (b *simulatedBox) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error) {
-	if err := b.reach(ctx); err != nil {
+func (b *simulatedBox) WatchTable(ctx context.Context, after uint64, wait time.Duration, maxBytes int) (TableResult, error) {
+	if err := b.roundTrip(ctx); err != nil {
 		return TableResult{}, err
 	}
-	versions, changed := b.history.store.since(after)
+	versions, changed := b.sim.store.since(after)
 	if len(versions) == 0 {
 		select {
 		case <-ctx.Done():
@@ -228,21 +226,21 @@
 			return TableResult{Revision: after}, nil
 		case <-changed:
 		}
-		versions, _ = b.history.store.since(after)
+		versions, _ = b.sim.store.since(after)
 	}
 	last := versions[len(versions)-1]
-	switch bytes := len(versions) * b.history.store.tableLength(); {
-	case time.Since(versions[0].made) > storedFor:
+	switch bytes := len(versions) * b.sim.store.tableLength(); {
+	case time.Since(versions[0].createdAt) > historyRetention:
 		return TableResult{}, ErrHistoryLost
-	case bytes > most:
+	case bytes > maxBytes:
 		return TableResult{}, ErrHistoryTooLong
 	default:
-		return TableResult{Table: last.table, Revision: last.revision, Changed: last.revision, Bytes: bytes}, b.carry(ctx, bytes)
+		return TableResult{Table: last.table, Revision: last.revision, Changed: last.revision, Bytes: bytes}, b.transferAnswer(ctx, bytes)
 	}
 }
 
 func (b *simulatedBox) ReadServers(ctx context.Context, _ string, _ bool) (ServersPage, error) {
-	return ServersPage{Revision: b.history.store.newest().revision}, b.reach(ctx)
+	return ServersPage{Revision: b.sim.store.newest().revision}, b.roundTrip(ctx)
 }
 
 func (b *simulatedBox) ReadEvacuations(ctx context.Context) (Evacuations, error) {
@@ -250,48 +248,47 @@
 }
 
 func (b *simulatedBox) WatchServers(ctx context.Context, after uint64, wait time.Duration) (ServerChanges, error) {
-	if err := b.reach(ctx); err != nil {
+	if err := b.roundTrip(ctx); err != nil {
 		return ServerChanges{}, err
 	}
 	pause.For(ctx, wait)
-	return ServerChanges{Revision: max(after, b.history.store.newest().revision)}, context.Cause(ctx)
+	return ServerChanges{Revision: max(after, b.sim.store.newest().revision)}, context.Cause(ctx)
 }
 
 // Table implements Providers.
-func (b *simulatedBox) Table(ctx context.Context, _ *routing.Table, least uint64) (TableCopy, error) {
+func (b *simulatedBox) Table(ctx context.Context, _ *routing.Table, minRevision uint64) (TableCopy, error) {
 	return askProviders(ctx, b, func(ctx context.Context, p *simulatedBox, d *Directory) (TableCopy, error) {
-		c, err := d.TableCopy(ctx, least)
+		c, err := d.TableCopy(ctx, minRevision)
 		if err != nil {
 			return c, err
 		}
 		p.uploads.Add(1)
 		defer p.uploads.Add(-1)
-		bytes := b.history.store.tableLength() / packed
-		within, cancel := stall.WithLimits(b.history.ctx, historyTiming.limits(historyTiming.AnswerTimeout))
+		bytes := b.sim.store.tableLength() / compressionRatio
+		callCtx, cancel := stall.WithLimits(b.sim.ctx, simulationTiming.stallLimits(simulationTiming.AnswerTimeout))
 		defer cancel()
-		return c, transferOver(&linkReader{ctx: within, box: b, left: bytes, share: func() int { return p.speed / int(p.uploads.Load()) }, sent: &b.history.between})
+		return c, transferOver(&linkReader{ctx: callCtx, box: b, remaining: bytes, share: func() int { return p.bytesPerSec / int(p.uploads.Load()) }, sent: &b.sim.bytesBetweenBoxes})
 	})
 }
 
 // Servers implements Providers.
-func (b *simulatedBox) Servers(ctx context.Context, since, least uint64) (ListCopy, error) {
+func (b *simulatedBox) Servers(ctx context.Context, since, minRevision uint64) (ListCopy, error) {
 	return askProviders(ctx, b, func(ctx context.Context, _ *simulatedBox, d *Directory) (ListCopy, error) {
-		if _, err := d.ListMetadata(ctx, least); err != nil {
+		if _, err := d.ListMetadata(ctx, minRevision); err != nil {
 			return ListCopy{}, err
 		}
 		return d.ListCopy(), nil
 	})
 }
 
-// providersWait is how long providers may take together to begin an answer, as in routerd;
-// firstShare is what each gets of it while there are others, as in pkg/snapshot.
 const (
-	providersWait = applied * 15 / 100
-	firstShare    = 2.0 / 3
+	// providersWait is the total time for providers to send a first byte, as in routerd;
+	// firstProviderShare is the fraction each gets while others remain, as in pkg/snapshot.
+	providersWait      = applyBound * 15 / 100
+	firstProviderShare = 2.0 / 3
 )
 
-// askProviders asks one provider after the other. What is asked may be lost, and then the
-// provider is silent.
+// askProviders queries the providers in turn. An unreachable provider times out.
 func askProviders[T any](ctx context.Context, b *simulatedBox, ask func(context.Context, *simulatedBox, *Directory) (T, error)) (T, error) {
 	var got T
 	err := ErrNoProvider
@@ -299,17 +296,17 @@
 	for i, p := range b.providers {
 		wait := time.Until(end)
 		if i < len(b.providers)-1 {
-			wait = time.Duration(firstShare * float64(wait))
+			wait = time.Duration(firstProviderShare * float64(wait))
 		}
 		pause.For(ctx, time.Millisecond+rand.N(3*time.Millisecond))
-		within, cancel := context.WithTimeout(ctx, wait)
-		if b.isCut() || p.isCut() || b.history.apart(b, p) {
-			<-within.Done()
+		callCtx, cancel := context.WithTimeout(ctx, wait)
+		if b.isIsolated() || p.isIsolated() || b.sim.separated(b, p) {
+			<-callCtx.Done()
 			cancel()
-			err = within.Err()
+			err = callCtx.Err()
 			continue
 		}
-		got, err = ask(within, p, p.now())
+		got, err = ask(callCtx, p, p.currentDirectory())
 		cancel()
 		if err == nil {
 			return got, nil
@@ -318,188 +315,187 @@
 	return got, err
 }
 
-func (b *simulatedBox) isCut() bool {
+func (b *simulatedBox) isIsolated() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cut
+	return b.isolated
 }
 
-// now is the box's directory in this life.
-func (b *simulatedBox) now() *Directory {
+// currentDirectory returns the directory since the last restart.
+func (b *simulatedBox) currentDirectory() *Directory {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.directory
 }
 
-// start begins a life of the box.
+// start starts or restarts the box.
 func (b *simulatedBox) start(ctx context.Context, wg *sync.WaitGroup) {
 	ctx, b.stop = context.WithCancel(ctx)
-	d := New(b.history.logger(b.number))
+	d := New(b.sim.logger(b.number))
 	d.OnNotification(func(n Notification) {
-		b.history.tell(b, func(_ *simulatedBox, d *Directory) { d.ApplyNotification(n.within(smallDelta)) })
+		b.sim.broadcast(b, func(_ *simulatedBox, d *Directory) { d.ApplyNotification(n.withoutLargeDelta(smallDeltaRoutes)) })
 	})
 	b.mu.Lock()
-	b.directory, b.seen, b.inTouch, b.heard = d, 0, time.Now(), time.Now()
+	b.directory, b.highestVersion, b.connectedSince, b.lastCheck = d, 0, time.Now(), time.Now()
 	b.mu.Unlock()
 	wg.Go(func() {
-		d.Follow(ctx, FollowOptions{Source: b, Providers: b, Timing: historyTiming, Reader: func() bool { return b.number < readersOfHistories }})
+		d.Follow(ctx, FollowOptions{Source: b, Providers: b, Timing: simulationTiming, Reader: func() bool { return b.number < simulationReaders }})
 	})
-	wg.Go(func() { b.checks(ctx, d) })
+	wg.Go(func() { b.runChecks(ctx, d) })
 }
 
-// smallDelta is how many routes a delta may set to fit a datagram.
-const smallDelta = 5
+// smallDeltaRoutes is the number of routes in a table delta that fits a datagram.
+const smallDeltaRoutes = 5
 
-// within leaves out a delta that is too long for a datagram.
-func (n Notification) within(routes int) Notification {
+// withoutLargeDelta clears a table delta that does not fit a datagram.
+func (n Notification) withoutLargeDelta(routes int) Notification {
 	if n.TableDelta != nil && len(n.TableDelta.Routes.Set) > routes {
 		n.TableDelta = nil
 	}
 	return n
 }
 
-// checks checks the store while no other box tells that it has.
-func (b *simulatedBox) checks(ctx context.Context, d *Directory) {
+// runChecks verifies the store whenever no other box has done so for a while.
+func (b *simulatedBox) runChecks(ctx context.Context, d *Directory) {
 	for ctx.Err() == nil {
-		if !b.quietFor(ctx, checkEvery+rand.N(checkSpread)) {
+		if !b.waitUntilCheckDue(ctx, checkEvery+rand.N(checkSpread)) {
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, historyTiming.AnswerTimeout)
-		asked, err := time.Now(), b.reach(within)
+		callCtx, cancel := context.WithTimeout(ctx, simulationTiming.AnswerTimeout)
+		askedAt, err := time.Now(), b.roundTrip(callCtx)
 		cancel()
 		if err != nil {
 			continue
 		}
-		if c, ok := d.Verify(ctx, b.history.store.newest().revision, asked, historyTiming); ok {
-			b.history.tell(b, func(to *simulatedBox, d *Directory) {
-				to.spared()
+		if c, ok := d.Verify(ctx, b.sim.store.newest().revision, askedAt, simulationTiming); ok {
+			b.sim.broadcast(b, func(to *simulatedBox, d *Directory) {
+				to.recordCheck()
 				d.ApplyCheck(c)
 			})
 		}
 	}
 }
 
-// quietFor waits until no other box has checked the store for a time. It returns false
-// when the box ends.
-func (b *simulatedBox) quietFor(ctx context.Context, d time.Duration) bool {
+// waitUntilCheckDue blocks until no box has checked the store for d. It returns false when ctx ends.
+func (b *simulatedBox) waitUntilCheckDue(ctx context.Context, d time.Duration) bool {
 	for ctx.Err() == nil {
 		b.mu.Lock()
-		left := d - time.Since(b.heard)
+		remaining := d - time.Since(b.lastCheck)
 		b.mu.Unlock()
-		if left <= 0 {
-			b.spared()
+		if remaining <= 0 {
+			b.recordCheck()
 			return true
 		}
-		pause.For(ctx, left)
+		pause.For(ctx, remaining)
 	}
 	return false
 }
 
-// spared notes that this box or another has just checked the store.
-func (b *simulatedBox) spared() {
+// recordCheck records that this box or another one has checked the store.
+func (b *simulatedBox) recordCheck() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heard = time.Now()
-}
-
-// history is a store and its boxes.
-type history struct {
-	t     *testing.T
-	store *store
-	boxes []*simulatedBox
-	wg    *sync.WaitGroup
-	ctx   context.Context
-	rand  *rand.Rand
-	begun time.Time
-	// loss is the part of what boxes tell each other that is lost; as much is doubled.
+	b.lastCheck = time.Now()
+}
+
+// simulation is a store and its boxes.
+type simulation struct {
+	t         *testing.T
+	store     *store
+	boxes     []*simulatedBox
+	wg        *sync.WaitGroup
+	ctx       context.Context
+	rand      *rand.Rand
+	startedAt time.Time
+	// loss is the fraction of messages between boxes that are lost; the same fraction is duplicated.
 	loss float64
-	// between counts the bytes that boxes have sent each other.
-	between atomic.Int64
-	// halved says that boxes with odd and with even numbers don't hear each other now.
-	halved atomic.Bool
+	// bytesBetweenBoxes counts the bytes transferred between boxes.
+	bytesBetweenBoxes atomic.Int64
+	// split is set while boxes with odd and with even numbers cannot reach each other.
+	split atomic.Bool
 }
 
-// apart tells whether two boxes are in different halves of a fleet that is cut in two.
-func (h *history) apart(a, b *simulatedBox) bool {
-	return h.halved.Load() && a.number%2 != b.number%2
+// separated reports whether two boxes are in different halves of a split fleet.
+func (sim *simulation) separated(a, b *simulatedBox) bool {
+	return sim.split.Load() && a.number%2 != b.number%2
 }
 
-// lossOfHistories is far above what calm networks lose.
-const lossOfHistories = 0.1
+// simulationLoss is far above the loss of healthy networks.
+const simulationLoss = 0.1
 
-// newHistory starts boxes at a store that has a table. The first two have fast links.
-func newHistory(ctx context.Context, t *testing.T, seed uint64, boxes int, s *store, loss float64) *history {
-	h := &history{t: t, begun: time.Now(), ctx: ctx, wg: &sync.WaitGroup{}, rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, store: s}
+// newSimulation starts boxes with a store that has a table. The first ones have fast links.
+func newSimulation(ctx context.Context, t *testing.T, seed uint64, boxes int, s *store, loss float64) *simulation {
+	sim := &simulation{t: t, startedAt: time.Now(), ctx: ctx, wg: &sync.WaitGroup{}, rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, store: s}
 	s.change(tableOf(1, "first"))
 	var entries []roster.Entry
 	for i := range boxes {
-		b := &simulatedBox{history: h, number: i, speed: slowLink}
-		if i < readersOfHistories || i%fastEach == 0 {
-			b.speed = fastLink
+		b := &simulatedBox{sim: sim, number: i, bytesPerSec: slowLinkBytesPerSec}
+		if i < simulationReaders || i%fastLinkInterval == 0 {
+			b.bytesPerSec = fastLinkBytesPerSec
 		}
-		h.boxes = append(h.boxes, b)
+		sim.boxes = append(sim.boxes, b)
 		entries = append(entries, b.entry())
 	}
-	for i, b := range h.boxes {
+	for i, b := range sim.boxes {
 		for _, e := range roster.ProvidersOf(entries, entries[i]) {
-			b.providers = append(b.providers, h.boxes[slices.IndexFunc(entries, func(x roster.Entry) bool { return x.Box == e.Box })])
+			b.providers = append(b.providers, sim.boxes[slices.IndexFunc(entries, func(x roster.Entry) bool { return x.Box == e.Box })])
 		}
 	}
-	for _, b := range h.boxes {
-		b.start(ctx, h.wg)
+	for _, b := range sim.boxes {
+		b.start(ctx, sim.wg)
 	}
-	return h
+	return sim
 }
 
-// fastEach says that each so many-th box has a fast link: three of sixty in a hall.
-const fastEach = 21
+// fastLinkInterval gives every n-th box a fast link: three of sixty in a hall.
+const fastLinkInterval = 21
 
-// entry is how the box stands in the roster. The readers have the fastest links.
+// entry returns the roster entry of the box. The readers have the fastest links.
 func (b *simulatedBox) entry() roster.Entry {
-	mbps := float64(b.speed) * 8 / 1e6
-	if b.number < readersOfHistories {
+	mbps := float64(b.bytesPerSec) * 8 / 1e6
+	if b.number < simulationReaders {
 		mbps++
 	}
-	return roster.Entry{Box: fmt.Sprint("box-", b.number), Hall: fmt.Sprint("hall-", b.number%hallsOfHistories), LinkMbps: mbps}
+	return roster.Entry{Box: fmt.Sprint("box-", b.number), Hall: fmt.Sprint("hall-", b.number%simulationHalls), LinkMbps: mbps}
 }
 
-// tell brings something to the other boxes; some of it is lost, doubled or late.
-func (h *history) tell(from *simulatedBox, what func(*simulatedBox, *Directory)) {
+// broadcast delivers a message to the other boxes; some copies are lost, duplicated or delayed.
+func (sim *simulation) broadcast(from *simulatedBox, deliver func(*simulatedBox, *Directory)) {
 	from.mu.Lock()
-	cut := from.cut
+	isolated := from.isolated
 	from.mu.Unlock()
-	if cut {
+	if isolated {
 		return
 	}
-	for _, b := range h.boxes {
-		if b == from || h.apart(b, from) {
+	for _, b := range sim.boxes {
+		if b == from || sim.separated(b, from) {
 			continue
 		}
 		copies := 1
-		if rand.Float64() < h.loss {
+		if rand.Float64() < sim.loss {
 			copies = 2
 		}
 		for range copies {
-			if rand.Float64() >= h.loss {
-				time.AfterFunc(time.Millisecond+rand.N(60*time.Millisecond), func() { b.receive(what) })
+			if rand.Float64() >= sim.loss {
+				time.AfterFunc(time.Millisecond+rand.N(60*time.Millisecond), func() { b.receive(deliver) })
 			}
 		}
 	}
 }
 
-func (b *simulatedBox) receive(what func(*simulatedBox, *Directory)) {
+func (b *simulatedBox) receive(deliver func(*simulatedBox, *Directory)) {
 	b.mu.Lock()
-	d, cut := b.directory, b.cut
+	d, isolated := b.directory, b.isolated
 	b.mu.Unlock()
-	if !cut {
-		what(b, d)
+	if !isolated {
+		deliver(b, d)
 	}
 }
 
-// logger writes what a box logs where that is asked for.
-func (h *history) logger(box int) log.Logger {
-	if !*historyLogs {
+// logger writes the logs of a box if -histories.logs is set.
+func (sim *simulation) logger(box int) log.Logger {
+	if !*simulationLogs {
 		return log.NewNopLogger()
 	}
-	return log.With(log.NewLogfmtLogger(h.t.Output()), "at", log.Valuer(func() any { return time.Since(h.begun).Round(time.Millisecond) }), "box", box)
+	return log.With(log.NewLogfmtLogger(sim.t.Output()), "at", log.Valuer(func() any { return time.Since(sim.startedAt).Round(time.Millisecond) }), "box", box)
 }
--- a/pkg/directory/source.go
+++ b/pkg/directory/source.go
@@ -8,13 +8,11 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// ErrHistoryLost says that changes since a revision can't be had any more: the
-// whole has to be read again.
-var ErrHistoryLost = errors.New("the history since that revision is gone: read the whole again")
+// ErrHistoryLost is returned if the source has compacted the changes since a revision.
+var ErrHistoryLost = errors.New("changes since that revision are compacted: full read required")
 
-// ErrHistoryTooLong says that the changes since a revision are longer than what the caller
-// would take.
-var ErrHistoryTooLong = errors.New("the changes since that revision are too long: read the whole instead")
+// ErrHistoryTooLong is returned if the changes since a revision exceed the caller's limit.
+var ErrHistoryTooLong = errors.New("changes since that revision exceed the size limit: full read required")
 
 // TableResult is the routing table at a revision of the source.
 type TableResult struct {
@@ -23,43 +21,41 @@
 	Revision uint64
 	// Changed is the revision at which the table changed, zero if Table is nil.
 	Changed uint64
-	// Bytes is how long the answer was.
+	// Bytes is the length of the answer.
 	Bytes int
 }
 
-// ServersPage is a part of the list of servers, and the revision of the source when
-// it was read.
+// ServersPage is a page of the list of servers, read at a revision of the source.
 type ServersPage struct {
 	Servers  []routing.Server
 	Revision uint64
-	// Next is where the next page begins; "" after the last one.
+	// Next is the start of the next page; empty for the last one.
 	Next string
 }
 
-// ServerEvent is one change of the list. Of a removed server only the ID is known.
+// ServerEvent is one change of the list. For a removed server only the ID is set.
 type ServerEvent struct {
 	Server  routing.Server `json:"server"`
 	Removed bool           `json:"removed,omitempty"`
 }
 
-// ServerChanges are the changes of the list up to a revision, in order.
+// ServerChanges holds the changes of the list up to a revision, in order.
 type ServerChanges struct {
 	Events   []ServerEvent
 	Revision uint64
 }
 
-// Source is where table and servers come from. Watches return when something has
-// changed or the wait is over.
+// Source provides the routing table and the list of servers. Watches return when there is a change
+// or the wait is over.
 type Source interface {
 	ReadTable(ctx context.Context) (TableResult, error)
-	// WatchTable takes at most so many bytes. The changes since a revision may hold many
-	// whole tables; a longer answer is ErrHistoryTooLong.
-	WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error)
-	// ReadServers reads the page of the list that begins at a place; "" is the
-	// beginning. A stale page may be older than the source, but it is cheap and bound
-	// by no rate.
+	// WatchTable returns ErrHistoryTooLong if the answer would exceed maxBytes, as the changes since
+	// a revision may hold many whole tables.
+	WatchTable(ctx context.Context, after uint64, wait time.Duration, maxBytes int) (TableResult, error)
+	// ReadServers reads the page that starts at from; empty for the first one. A stale page may lag
+	// behind the source, but does not count against its rate limit.
 	ReadServers(ctx context.Context, from string, stale bool) (ServersPage, error)
 	WatchServers(ctx context.Context, after uint64, wait time.Duration) (ServerChanges, error)
-	// ReadEvacuations reads which halls are evacuated.
+	// ReadEvacuations reads the evacuated halls.
 	ReadEvacuations(ctx context.Context) (Evacuations, error)
 }
--- a/pkg/directory/state_test.go
+++ b/pkg/directory/state_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestStatesTellAgeAndMisses(t *testing.T) {
+func TestStatesReportAgeAndFailures(t *testing.T) {
 	now := time.Now()
 	d := New(log.NewNopLogger())
 	assert.Equal(t, map[string]State{partTable: {}, partServers: {}}, d.States(now))
 	d.setTable(tableOf(4, "a"), now.Add(-3*time.Second))
-	d.table.advance(known{revision: 9, changed: 9})
-	d.list.heard(errors.New("away"))
+	d.table.advance(position{revision: 9, changed: 9})
+	d.list.recordResult(errors.New("source unavailable"))
 	assert.Equal(t, map[string]State{
 		partTable:   {Revision: 9, Age: 3 * time.Second},
 		partServers: {Failures: 1},
--- a/pkg/directory/tabledeltas.go
+++ b/pkg/directory/tabledeltas.go
@@ -8,61 +8,60 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// tableDelta leads from one version of the table to the next.
+// tableDelta leads from one version of the table to another.
 type tableDelta struct {
 	routing.Delta
-	// changed is the revision of the source at which the table changed.
+	// changed is the source revision at which the table changed.
 	changed uint64
 }
 
-// deltasKept bounds the deltas that wait for the version that they begin at. Some changes
-// may come while a box reads a large table.
-const deltasKept = 32
+// maxPendingDeltas bounds the deltas kept until their base version arrives.
+const maxPendingDeltas = 32
 
-// noticedTable takes in what another box tells of a new table. A delta that does not
-// begin at the version in force waits: that version may be on its way.
-func (d *Directory) noticedTable(delta tableDelta) {
-	if delta.changed <= d.table.known().revision {
+// applyTableDelta applies a delta from another box. If its base version is not in force it is kept,
+// as that version may still arrive.
+func (d *Directory) applyTableDelta(delta tableDelta) {
+	if delta.changed <= d.table.position().revision {
 		return
 	}
-	d.applying.Lock()
-	defer d.applying.Unlock()
-	d.deltas = append(d.deltas, delta)
-	if len(d.deltas) > deltasKept {
-		d.deltas = d.deltas[1:]
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	d.pendingDeltas = append(d.pendingDeltas, delta)
+	if len(d.pendingDeltas) > maxPendingDeltas {
+		d.pendingDeltas = d.pendingDeltas[1:]
 	}
-	d.followDeltas()
+	d.applyPendingDeltas()
 }
 
-// readTable takes in a table that was read, and then what has been told of newer ones. It
-// returns the table that was in force before.
-func (d *Directory) readTable(read TableResult, at time.Time) *routing.Table {
-	d.applying.Lock()
-	defer d.applying.Unlock()
+// applyTable publishes a table that was read, applies the pending deltas, and returns the previous
+// table.
+func (d *Directory) applyTable(result TableResult, at time.Time) *routing.Table {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
 	before := d.View().Table
-	d.setTable(read.Table, at)
-	d.followDeltas()
+	d.setTable(result.Table, at)
+	d.applyPendingDeltas()
 	return before
 }
 
-// followDeltas applies the deltas that lead on from the table in force, and drops those
-// that are passed. The caller holds applying.
-func (d *Directory) followDeltas() {
+// applyPendingDeltas applies the deltas that continue the table in force and drops outdated ones.
+// The caller holds applyMu.
+func (d *Directory) applyPendingDeltas() {
 	for {
 		t := d.View().Table
 		if t == nil {
 			return
 		}
-		d.deltas = slices.DeleteFunc(d.deltas, func(x tableDelta) bool { return x.To <= t.Version })
-		i := slices.IndexFunc(d.deltas, func(x tableDelta) bool { return x.From == t.Version })
+		d.pendingDeltas = slices.DeleteFunc(d.pendingDeltas, func(x tableDelta) bool { return x.To <= t.Version })
+		i := slices.IndexFunc(d.pendingDeltas, func(x tableDelta) bool { return x.From == t.Version })
 		if i < 0 {
 			return
 		}
-		delta := d.deltas[i]
-		d.deltas = slices.Delete(d.deltas, i, i+1)
+		delta := d.pendingDeltas[i]
+		d.pendingDeltas = slices.Delete(d.pendingDeltas, i, i+1)
 		if next, ok := t.Apply(delta.Delta); ok {
 			d.setTable(next, clock.Now())
-			d.table.advance(known{revision: delta.changed, changed: delta.changed})
+			d.table.advance(position{revision: delta.changed, changed: delta.changed})
 		}
 	}
 }
--- a/pkg/directory/unbegun_test.go
+++ b/pkg/directory/unbegun_test.go
@@ -12,77 +12,75 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// gatheringSource begins no answer to a watch that has something to tell. The whole is at
-// hand.
-type gatheringSource struct{ *simulatedBox }
+// stallingSource sends no first byte for a watch that has changes to report, but serves full reads.
+type stallingSource struct{ *simulatedBox }
 
-func (s gatheringSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, most int) (TableResult, error) {
-	if s.history.store.newest().revision > after {
+func (s stallingSource) WatchTable(ctx context.Context, after uint64, wait time.Duration, maxBytes int) (TableResult, error) {
+	if s.sim.store.newest().revision > after {
 		<-ctx.Done()
 		return TableResult{}, ctx.Err()
 	}
-	return s.simulatedBox.WatchTable(ctx, after, wait, most)
+	return s.simulatedBox.WatchTable(ctx, after, wait, maxBytes)
 }
 
-// A store that is slow to gather what several versions have changed is asked for the whole
-// in the end.
+// A source that takes too long to collect the changes of several versions must be read in full.
 func TestWholeIsReadWhereWatchesDoNotBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &history{t: t, begun: time.Now(), store: newStore(routeBytes)}
-		h.store.change(tableOf(1, "first"))
-		d := New(h.logger(0))
+		sim := &simulation{t: t, startedAt: time.Now(), store: newStore(routeBytes)}
+		sim.store.change(tableOf(1, "first"))
+		d := New(sim.logger(0))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			d.Follow(ctx, alone(gatheringSource{&simulatedBox{history: h, speed: slowLink}}, historyTiming))
+			d.Follow(ctx, standalone(stallingSource{&simulatedBox{sim: sim, bytesPerSec: slowLinkBytesPerSec}}, simulationTiming))
 			close(done)
 		}()
 		time.Sleep(time.Second)
 		for version := uint64(2); version <= 5; version++ {
-			h.store.change(tableOf(version, "first"))
+			sim.store.change(tableOf(version, "first"))
 		}
-		begun := time.Now()
-		// A check tells the revision, as routerd's does, and not what has changed.
-		for d.View().Table.Version < 5 && time.Since(begun) < 10*time.Second {
-			d.Verify(ctx, h.store.newest().revision, time.Now(), historyTiming)
+		startedAt := time.Now()
+		// Like a check of routerd, this names only the revision.
+		for d.View().Table.Version < 5 && time.Since(startedAt) < 10*time.Second {
+			d.Verify(ctx, sim.store.newest().revision, time.Now(), simulationTiming)
 		}
-		assert.Less(t, time.Since(begun), applied)
+		assert.Less(t, time.Since(startedAt), applyBound)
 		cancel()
 		<-done
 	})
 }
 
-// A silent source says nothing of watches: they are gone on with once it is back.
-func TestSilenceDoesNotMakeTheWholeBeRead(t *testing.T) {
+// Timeouts of an unavailable source must not count as stalled watches.
+func TestUnavailableSourceDoesNotForceFullRead(t *testing.T) {
 	f := newFollower(partTable, log.NewNopLogger(), func() bool { return true })
-	f.advance(known{revision: 3})
-	for range 2 * unbegunMost {
-		f.notBegun(f.target(), stalledError())
+	f.advance(position{revision: 3})
+	for range 2 * maxStalledWatches {
+		f.recordStall(f.target(), stalledError())
 	}
-	assert.False(t, f.watchesFail(), "nothing is known to lack")
-	f.reach(5)
-	for range unbegunMost {
-		assert.False(t, f.watchesFail())
-		f.notBegun(f.target(), stalledError())
+	assert.False(t, f.watchesStall(), "no newer revision is known")
+	f.requireRevision(5)
+	for range maxStalledWatches {
+		assert.False(t, f.watchesStall())
+		f.recordStall(f.target(), stalledError())
 	}
-	assert.True(t, f.watchesFail())
-	f.met(f.target())
-	assert.False(t, f.watchesFail())
+	assert.True(t, f.watchesStall())
+	f.resolve(f.target())
+	assert.False(t, f.watchesStall())
 }
 
-// What is reached is not open any more, however it was reached.
-func TestReachedTargetsAreNotOpen(t *testing.T) {
+// A target that is reached, by whatever means, must not be requested again.
+func TestReachedTargetsAreCleared(t *testing.T) {
 	f := newFollower(partTable, log.NewNopLogger(), func() bool { return true })
-	f.advance(known{revision: 3})
-	f.heardOf(0, 7)
-	assert.Equal(t, target{wanted: 7, missing: 7}, f.target())
-	asked := f.target()
-	f.advance(known{revision: 7})
+	f.advance(position{revision: 3})
+	f.observe(0, 7)
+	assert.Equal(t, target{revision: 7, changed: 7}, f.target())
+	requested := f.target()
+	f.advance(position{revision: 7})
 	assert.Equal(t, target{}, f.target())
-	f.heardOf(0, 9)
-	f.met(asked)
-	assert.Equal(t, target{wanted: 9, missing: 9}, f.target(), "what was heard of meanwhile stays")
+	f.observe(0, 9)
+	f.resolve(requested)
+	assert.Equal(t, target{revision: 9, changed: 9}, f.target(), "a revision observed in the meantime stays pending")
 }
 
-// stalledError is how an exchange ends whose answer does not begin.
-func stalledError() error { return &stall.Error{Limit: historyTiming.AnswerTimeout} }
+// stalledError returns the error of an exchange without a first byte.
+func stalledError() error { return &stall.Error{Limit: simulationTiming.AnswerTimeout} }
