--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -77,7 +77,7 @@
 }
 
 // A rejected page read must not discard the pages read before.
-func TestLongListIsReadThoughCallsAreRefused(t *testing.T) {
+func TestLongListIsReadDespiteRejectedCalls(t *testing.T) {
 	source := &fakeSource{pageSize: 10, reject: func(call int) bool { return call%3 != 0 }}
 	for i := range 200 {
 		source.events = append(source.events, ServerEvent{Server: routing.Server{ID: fmt.Sprint(i), Service: "s"}})
@@ -89,7 +89,7 @@
 
 // Pages after the first may be stale; changes since then must be fetched with a watch, or by reading
 // the pages again if the history is compacted.
-func TestStalePagesAreBroughtUpToDate(t *testing.T) {
+func TestStalePagesAreCompletedByWatch(t *testing.T) {
 	source := &fakeSource{pageSize: 10, staleLag: 7}
 	for i := range 60 {
 		source.events = append(source.events, ServerEvent{Server: routing.Server{ID: fmt.Sprintf("%03d", i), Service: "s"}})
@@ -163,7 +163,7 @@
 
 // Deltas may be reordered, repeated or lost; the list must always be that of the source at the
 // current position.
-func TestDeltasNeverUndoNewerOnes(t *testing.T) {
+func TestOldDeltasDoNotUndoNewerOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []ServerEvent
 		for i := range rapid.IntRange(1, 30).Draw(t, "events") {
@@ -269,7 +269,7 @@
 
 // Entries can expire during an outage of the source while their servers are alive. Those servers
 // must stay in use until the recovery grace ends.
-func TestEntriesThatLapsedInAnOutageAreUsedForAMoment(t *testing.T) {
+func TestEntriesExpiredInOutageStayUsableBriefly(t *testing.T) {
 	now := time.Now()
 	list := []routing.Server{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "leaving", Service: "s", Leaving: true}}
 	candidates := func(d *Directory, at time.Time) (ids []string) {
--- a/pkg/directory/follow_test.go
+++ b/pkg/directory/follow_test.go
@@ -69,7 +69,7 @@
 
 // A box that starts during an outage must load soon after it. Backoffs are random, so the mean over
 // many outages is checked as well as the maximum.
-func TestBoxThatStartsInAnOutageIsLoadedSoonAfter(t *testing.T) {
+func TestBoxStartedInOutageLoadsSoonAfter(t *testing.T) {
 	total, count := time.Duration(0), 0
 	for outage := 100 * time.Millisecond; outage < 6*time.Second; outage += 70 * time.Millisecond {
 		after := timeToLoad(t, outage, 4*time.Millisecond)
@@ -105,7 +105,7 @@
 
 // Notifications that arrive during a large transfer must neither cancel it nor trigger more
 // requests.
-func TestNewsLetsAnAnswerUnderWayFinish(t *testing.T) {
+func TestNotificationDoesNotCancelTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{t: t, startedAt: time.Now(), store: newStore(largeTableBytes)}
 		sim.store.change(tableOf(1, "first"))
--- a/pkg/directory/history_test.go
+++ b/pkg/directory/history_test.go
@@ -35,7 +35,7 @@
 
 // A box that copies the changes it lacks from another box must end up with the same list, whatever
 // the order of deltas and full reads.
-func TestChangesLeadToTheSameList(t *testing.T) {
+func TestCopiedDeltasLeadToSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		first, second := New(log.NewNopLogger()), New(log.NewNopLogger())
@@ -88,7 +88,7 @@
 
 // Boxes follow one source by deltas and full reads at any revisions, and copy from each other. Each
 // must always have the list that the source had at its position.
-func TestChangesLeadToTheSourcesList(t *testing.T) {
+func TestCopiedDeltasMatchSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []ServerEvent
 		boxes := make([]replica, 3)
@@ -135,7 +135,7 @@
 }
 
 // A box that had to read the whole list must still serve the changes since its previous list.
-func TestChangesAreToldAcrossAWholeList(t *testing.T) {
+func TestHistorySpansFullRead(t *testing.T) {
 	d := New(log.NewNopLogger())
 	d.applyList([]routing.Server{serverIn("east", 0), serverIn("east", 1)}, 5, time.Now())
 	d.applyList([]routing.Server{serverIn("east", 0), serverIn("east", 2)}, 9, time.Now())
@@ -146,7 +146,7 @@
 }
 
 // A box that lacks one change must get that alone, however long the list is.
-func TestOneChangeIsTold(t *testing.T) {
+func TestCopyHoldsOnlyMissingChanges(t *testing.T) {
 	for _, n := range []int{1000, 2000} {
 		d := New(log.NewNopLogger())
 		var list []routing.Server
--- a/pkg/directory/notifications_test.go
+++ b/pkg/directory/notifications_test.go
@@ -37,7 +37,7 @@
 }
 
 // A box that verifies the source broadcasts the table's changes, so that others need not query.
-func TestNewTableIsTakenFromAnothersWord(t *testing.T) {
+func TestTableDeltaIsAppliedFromNotification(t *testing.T) {
 	sender, receiver, unrelated := directoryAt(tableOf(3, "a"), 5), directoryAt(tableOf(3, "a"), 5), directoryAt(tableOf(3, "x"), 5)
 	var received []Notification
 	sender.OnNotification(func(n Notification) { received = append(received, n) })
--- a/pkg/directory/providers_test.go
+++ b/pkg/directory/providers_test.go
@@ -128,7 +128,7 @@
 }
 
 // A list that deltas have overtaken must not undo them.
-func TestListOnItsWayUndoesNothing(t *testing.T) {
+func TestOvertakenListIsRejected(t *testing.T) {
 	d := directoryAt(tableOf(3, "a"), 5)
 	d.ApplyDelta(Delta{From: 5, To: 8, Events: []ServerEvent{{Server: routing.Server{ID: "new", Service: "s"}}}})
 	assert.Empty(t, d.applyList(nil, 7, time.Now()))
@@ -149,7 +149,7 @@
 }
 
 // A reader whose watch is too long and that reads in full must still notify the other boxes.
-func TestWholeReadInPlaceOfAWatchIsTold(t *testing.T) {
+func TestFullReadInPlaceOfWatchIsNotified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{t: t, startedAt: time.Now(), store: newStore(routeBytes)}
 		sim.store.change(tableOf(1, "first"))
--- a/pkg/directory/random_faults_test.go
+++ b/pkg/directory/random_faults_test.go
@@ -121,7 +121,7 @@
 
 // The fleet is repeatedly split in two while all boxes reach the store. Both halves must keep up,
 // including the one without a reader, and no box may go back to an older version after the split.
-func TestHalvesKeepUpAndMeetAgain(t *testing.T) {
+func TestPartitionedHalvesKeepUpAndConverge(t *testing.T) {
 	for i := range max(2, *simulationCount/4) {
 		seed := *simulationSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -149,7 +149,7 @@
 
 // Under random changes, message loss, rejections, partitions and restarts, a connected box must stay
 // within the propagation bound, and none may go back to an older version.
-func TestDrawnHistories(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for i := range *simulationCount {
 		seed := *simulationSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSimulation(t, seed, simulationBoxes) })
@@ -159,8 +159,8 @@
 // largeFleet is the number of boxes of the large deployment.
 const largeFleet = 300
 
-// TestDrawnHistories with hundreds of boxes, which copy nearly everything from each other.
-func TestDrawnHistoriesOfALargeFleet(t *testing.T) {
+// TestRandomFaults with hundreds of boxes, which copy nearly everything from each other.
+func TestRandomFaultsInLargeFleet(t *testing.T) {
 	for i := range max(1, *simulationCount/20) {
 		seed := *simulationSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSimulation(t, seed, largeFleet) })
@@ -168,7 +168,7 @@
 }
 
 // A delta that arrives before its base version must be kept until that version is applied.
-func TestDeltaWaitsForTheVersionItBeginsAt(t *testing.T) {
+func TestDeltaWaitsForItsBaseVersion(t *testing.T) {
 	d := directoryAt(tableOf(3, "a"), 5)
 	four, five, six := tableOf(4, "a", "b"), tableOf(5, "a", "b", "c"), tableOf(6, "a", "b", "c", "d")
 	second, first := routing.Diff(five, six), routing.Diff(four, five)
--- a/pkg/directory/stalled_watch_test.go
+++ b/pkg/directory/stalled_watch_test.go
@@ -24,7 +24,7 @@
 }
 
 // A source that takes too long to collect the changes of several versions must be read in full.
-func TestWholeIsReadWhereWatchesDoNotBegin(t *testing.T) {
+func TestFullReadAfterStalledWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := &simulation{t: t, startedAt: time.Now(), store: newStore(routeBytes)}
 		sim.store.change(tableOf(1, "first"))
