--- a/pkg/directory/backoff.go
+++ b/pkg/directory/backoff.go
@@ -26,9 +26,9 @@
 // answerTimeout returns how long to wait for the first byte of a full read.
 func (f *follower) answerTimeout(t Timing) time.Duration {
 	f.mu.Lock()
-	misses := f.totalFailures
+	failures := f.totalFailures
 	f.mu.Unlock()
-	if f.loaded() || misses%fullTimeoutInterval == fullTimeoutInterval-1 {
+	if f.loaded() || failures%fullTimeoutInterval == fullTimeoutInterval-1 {
 		return t.AnswerTimeout
 	}
 	return time.Duration(loadingTimeoutShare * float64(t.AnswerTimeout))
--- a/pkg/directory/evacuations.go
+++ b/pkg/directory/evacuations.go
@@ -61,9 +61,9 @@
 	return changed
 }
 
-func (d *Directory) logEvacuations(before, now Evacuations, askedAt time.Time) {
-	_ = level.Info(d.logger).Log("msg", "evacuated halls changed", "halls", strings.Join(now.Halls, ","), "before", strings.Join(before.Halls, ","),
-		"revision", now.Revision, "age_ms", clock.Since(askedAt).Milliseconds(), "outcome", "servers in these halls get no new requests")
+func (d *Directory) logEvacuations(before, after Evacuations, askedAt time.Time) {
+	_ = level.Info(d.logger).Log("msg", "evacuated halls changed", "halls", strings.Join(after.Halls, ","), "before", strings.Join(before.Halls, ","),
+		"revision", after.Revision, "age_ms", clock.Since(askedAt).Milliseconds(), "outcome", "servers in these halls get no new requests")
 }
 
 // restoredRetention is how long after the end of its evacuation a hall counts as restored. It
@@ -72,7 +72,7 @@
 
 // updateRestored returns the restored halls with the time of their restoration, after a change of
 // the evacuated halls.
-func updateRestored(earlier map[string]time.Time, before, now Evacuations, at time.Time) map[string]time.Time {
+func updateRestored(earlier map[string]time.Time, before, after Evacuations, at time.Time) map[string]time.Time {
 	halls := make(map[string]time.Time)
 	for hall, since := range earlier {
 		if at.Sub(since) < restoredRetention {
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, hall := range before.Halls {
-		if !slices.Contains(now.Halls, hall) {
+		if !slices.Contains(after.Halls, hall) {
 			halls[hall] = at
 		}
 	}
--- a/pkg/directory/follow.go
+++ b/pkg/directory/follow.go
@@ -39,7 +39,7 @@
 // FollowOptions configures Follow.
 type FollowOptions struct {
 	Source Source
-	// Providers are the peers that a box which is no reader asks before the source.
+	// Providers are queried before the source by boxes that are not readers.
 	Providers Providers
 	Timing    Timing
 	// Reader reports whether this box reads the source on behalf of others.
@@ -66,8 +66,8 @@
 // roleCheckInterval is how often a box checks whether it has become a reader.
 const roleCheckInterval = 500 * time.Millisecond
 
-// run reads the whole part, then follows its changes, and reads it again when the source has
-// compacted the history.
+// run reads the whole part, then follows its changes, and reads it again when the changes since its
+// position cannot be fetched.
 func (f *follower) run(ctx context.Context, t Timing, p part, reader func() bool) {
 	defer f.setQuerying(false)
 	for ctx.Err() == nil {
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -40,7 +40,7 @@
 	totalFailures int
 	// longPoll is the watch that waits for the next change, or nil.
 	longPoll *longPoll
-	// fullReadNeeded is set when changes can no longer be fetched.
+	// fullReadNeeded is set while the changes since the position cannot be fetched.
 	fullReadNeeded bool
 }
 
@@ -138,7 +138,7 @@
 	f.querying = querying
 }
 
-// resolve records that the source has answered a request. A revision that the answer does not reach
+// resolve records that a request was answered. A revision that the answer does not reach
 // did not come from this source and is not requested again, unlike one observed in the meantime.
 func (f *follower) resolve(requested target) {
 	f.mu.Lock()
--- a/pkg/directory/history.go
+++ b/pkg/directory/history.go
@@ -13,9 +13,9 @@
 // listHistory keeps the most recent changes of the list of servers.
 type listHistory struct {
 	// from is the revision after which all changes are known.
-	from   uint64
-	deltas []historyEntry
-	events int
+	from    uint64
+	entries []historyEntry
+	events  int
 }
 
 // historyEntry is a delta in the history.
@@ -47,12 +47,12 @@
 }
 
 func (h *listHistory) push(d historyEntry) {
-	h.deltas = append(h.deltas, d)
+	h.entries = append(h.entries, d)
 	h.events += d.size()
 	for h.events > maxHistoryEvents {
-		h.from = h.deltas[0].To
-		h.events -= h.deltas[0].size()
-		h.deltas = h.deltas[1:]
+		h.from = h.entries[0].To
+		h.events -= h.entries[0].size()
+		h.entries = h.entries[1:]
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	last := make(map[string]int)
 	var events []ServerEvent
-	for _, d := range h.deltas {
+	for _, d := range h.entries {
 		if d.To <= revision {
 			continue
 		}
--- a/pkg/directory/history_test.go
+++ b/pkg/directory/history_test.go
@@ -172,7 +172,7 @@
 	}
 	assert.Equal(t, maxHistoryEvents, h.events)
 	h.add(Delta{From: maxHistoryEvents + 11, To: maxHistoryEvents + 12})
-	assert.Len(t, h.deltas, maxHistoryEvents, "empty deltas are not kept")
+	assert.Len(t, h.entries, maxHistoryEvents, "empty deltas are not kept")
 	_, ok := h.since(5)
 	assert.False(t, ok)
 	events, ok := h.since(maxHistoryEvents + 10)
--- a/pkg/directory/notifications.go
+++ b/pkg/directory/notifications.go
@@ -67,14 +67,14 @@
 func (d *Directory) applyCopiedDelta(delta Delta) { d.apply(delta, d.history.addFullRead) }
 
 // apply applies a delta and records it in the history.
-func (d *Directory) apply(delta Delta, keep func(Delta)) {
+func (d *Directory) apply(delta Delta, record func(Delta)) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
 	if !d.list.extendedBy(delta) {
 		return
 	}
 	d.changeServers(delta.Events, clock.Now())
-	keep(delta)
+	record(delta)
 	pos := position{revision: delta.To}
 	if len(delta.Events) > 0 {
 		pos.changed = delta.To
--- a/pkg/directory/pools.go
+++ b/pkg/directory/pools.go
@@ -15,8 +15,8 @@
 	// pruneInterval is how often the pools are rebuilt without the servers whose retention has
 	// ended.
 	pruneInterval = 30 * time.Second
-	// maxIncrementalChanges is the number of changes up to which the pools are updated in place of a
-	// rebuild.
+	// maxIncrementalChanges is the number of changes up to which the pools are updated instead of
+	// rebuilt.
 	maxIncrementalChanges = 64
 )
 
@@ -50,15 +50,15 @@
 // copyWithout returns a copy without some servers, with spare capacity for them.
 func (p *pool) copyWithout(ids map[string]bool) *pool {
 	return &pool{
-		ready:    slices.DeleteFunc(cloneWithRoom(p.ready, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
-		draining: slices.DeleteFunc(cloneWithRoom(p.draining, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
-		removed:  slices.DeleteFunc(cloneWithRoom(p.removed, len(ids)), func(s Server) bool { return ids[s.ID] }),
+		ready:    slices.DeleteFunc(cloneWithSpare(p.ready, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
+		draining: slices.DeleteFunc(cloneWithSpare(p.draining, len(ids)), func(s routing.Server) bool { return ids[s.ID] }),
+		removed:  slices.DeleteFunc(cloneWithSpare(p.removed, len(ids)), func(s Server) bool { return ids[s.ID] }),
 	}
 }
 
-// cloneWithRoom returns a copy with spare capacity.
-func cloneWithRoom[T any](list []T, more int) []T {
-	return append(make([]T, 0, len(list)+more), list...)
+// cloneWithSpare returns a copy with spare capacity.
+func cloneWithSpare[T any](list []T, spare int) []T {
+	return append(make([]T, 0, len(list)+spare), list...)
 }
 
 // insert adds a server and keeps ready ordered by ID.
@@ -68,9 +68,9 @@
 	if len(p.ready) == ready {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(p.ready[:ready], s.ID, func(x routing.Server, id string) int { return cmp.Compare(x.ID, id) })
-	copy(p.ready[at+1:], p.ready[at:ready])
-	p.ready[at] = s.Server
+	index, _ := slices.BinarySearchFunc(p.ready[:ready], s.ID, func(x routing.Server, id string) int { return cmp.Compare(x.ID, id) })
+	copy(p.ready[index+1:], p.ready[index:ready])
+	p.ready[index] = s.Server
 }
 
 // rebuildPools builds all pools from the list and prunes removed servers. The caller holds mu.
@@ -102,8 +102,8 @@
 	d.view.Store(&v)
 }
 
-// updatePools copies only the pools with changed servers, as a rebuild is costly while servers are
-// being replaced. The caller holds mu.
+// updatePools derives the pools from the previous ones, as a rebuild from the list is costly while
+// servers are being replaced. The caller holds mu.
 func (d *Directory) updatePools(events []ServerEvent, at time.Time) {
 	if len(events) > maxIncrementalChanges || at.Sub(d.prunedAt) > pruneInterval {
 		d.rebuildPools(at)
--- a/pkg/directory/random_faults_test.go
+++ b/pkg/directory/random_faults_test.go
@@ -159,7 +159,7 @@
 // largeFleet is the number of boxes of the large deployment.
 const largeFleet = 300
 
-// TestRandomFaults with hundreds of boxes, which copy nearly everything from each other.
+// Runs TestRandomFaults with hundreds of boxes, which copy nearly everything from each other.
 func TestRandomFaultsInLargeFleet(t *testing.T) {
 	for i := range max(1, *simulationCount/20) {
 		seed := *simulationSeed + uint64(i)
