--- a/pkg/routing/bench_test.go
+++ b/pkg/routing/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkApplyDelta is one change of a key among many organisations.
+// BenchmarkApplyDelta applies a delta that changes the API key of one organisation.
 func BenchmarkApplyDelta(b *testing.B) {
 	for _, n := range []int{24, 41000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
--- a/pkg/routing/delta.go
+++ b/pkg/routing/delta.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Delta is what has changed between two versions of the configuration.
+// Delta is the difference between two versions of the configuration.
 type Delta struct {
 	From, To uint64
-	// Digest is that of the content of version To.
+	// Digest is the digest of the table at version To.
 	Digest        uint64
 	Limits        Limits
 	Routes        Changes[Route]
@@ -19,7 +19,7 @@
 	Organisations Changes[Organisation]
 }
 
-// Changes are those of a list of named things.
+// Changes are the items of a list that were added, replaced or removed, identified by name.
 type Changes[T any] struct {
 	Set     []T      `json:",omitempty"`
 	Removed []string `json:"Gone,omitempty"`
@@ -29,7 +29,7 @@
 func serviceName(s Service) string           { return s.Name }
 func organisationName(o Organisation) string { return o.Name }
 
-// Diff returns what leads from one table to another.
+// Diff returns the delta from one table to another.
 func Diff(from, to *Table) Delta {
 	a, b := from.content, to.content
 	return Delta{
@@ -40,8 +40,8 @@
 	}
 }
 
-// Apply returns the table that a delta leads to. It returns false if the delta does
-// not begin at this table, or if the result is not what its sender had.
+// Apply returns the table that results from applying the delta. It returns false if the
+// delta starts at another version or the digest of the result does not match.
 func (t *Table) Apply(d Delta) (*Table, bool) {
 	if d.From != t.Version || d.To <= d.From {
 		return nil, false
@@ -98,23 +98,23 @@
 	return next
 }
 
-// digest tells contents apart, whatever the order of their parts.
+// digest returns a hash of the content that does not depend on the order of its items.
 func (t *Table) digest() uint64 {
-	sum := hashOf(t.content.Limits)
+	sum := hashJSON(t.content.Limits)
 	for _, x := range t.content.Routes {
-		sum += hashOf(x)
+		sum += hashJSON(x)
 	}
 	for _, x := range t.content.Services {
-		sum += hashOf(x)
+		sum += hashJSON(x)
 	}
 	for _, x := range t.content.Organisations {
-		sum += hashOf(x)
+		sum += hashJSON(x)
 	}
 	return sum
 }
 
-func hashOf(x any) uint64 {
-	// Plain structs always encode.
+func hashJSON(x any) uint64 {
+	// Marshalling plain structs cannot fail.
 	data, _ := json.Marshal(x)
 	return xxhash.Sum64(data)
 }
--- a/pkg/routing/delta_test.go
+++ b/pkg/routing/delta_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawContent draws a configuration whose parts have unique names.
+// drawContent generates a configuration whose items have unique names.
 func drawContent(t *rapid.T, version uint64) Content {
 	c := Content{Version: version, Limits: Limits{BodyBytes: rapid.IntRange(1, 3).Draw(t, "body")}}
 	for i := range 6 {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// A delta that went over the wire leads to the same configuration as reading it whole.
+// Applying a delta that was encoded and decoded gives the target configuration.
 func TestDeltaLeadsToTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewTable(drawContent(t, 3)), NewTable(drawContent(t, 8))
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestDeltaThatDoesNotFitIsNotApplied(t *testing.T) {
+func TestApplyRejectsMismatchedDelta(t *testing.T) {
 	at := func(version uint64, names ...string) *Table {
 		c := Content{Version: version}
 		for _, n := range names {
@@ -60,11 +60,11 @@
 	}
 	d := Diff(at(3, "a"), at(5, "a", "b"))
 	_, ok := at(4, "a").Apply(d)
-	assert.False(t, ok, "another version")
+	assert.False(t, ok, "base version differs")
 	_, ok = at(3, "a", "c").Apply(d)
-	assert.False(t, ok, "the same version with another content")
+	assert.False(t, ok, "same version, different content")
 	_, ok = at(3, "a").Apply(Diff(at(3, "a"), at(2, "a")))
-	assert.False(t, ok, "a lower version")
+	assert.False(t, ok, "target version is lower")
 	next, ok := at(3, "a").Apply(d)
 	require.True(t, ok)
 	_, found := next.Match("host", "/b/x")
--- a/pkg/routing/doc.go
+++ b/pkg/routing/doc.go
@@ -1,4 +1,3 @@
-// Package routing holds the routing table: routes by host and path prefix, the
-// services they lead to, the organisations by API key, and the limits on callers.
-// A table is immutable once built.
+// Package routing implements the routing table: routes by host and path prefix, their
+// target services, organisations by API key, and limits on callers. A table is immutable.
 package routing
--- a/pkg/routing/incarnation.go
+++ b/pkg/routing/incarnation.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Incarnation names one life of a server: what is known of one says nothing of the next, which begins
-// with nothing cached and nothing to do.
+// Incarnation identifies one run of a backend server, from its start to its end. State that was
+// collected for one incarnation does not apply to the next one with the same ID, which starts with
+// an empty cache and no requests.
 type Incarnation struct {
 	ID      string
 	Started int64
 }
 
-// Incarnation is the life of the server that the entry tells of.
+// Incarnation returns the incarnation that the entry describes.
 func (s *Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Started: s.Started} }
 
-// String is the name of a life in keys; the ID alone for a server that does not say when it
+// String returns the ID and start time, or the ID alone if the server does not report when it
 // started.
-func (l Incarnation) String() string {
-	if l.Started == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.Started == 0 {
+		return i.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.Started, 10)
+	return i.ID + "@" + strconv.FormatInt(i.Started, 10)
 }
 
-// Hash is the name of a life in short.
-func (l Incarnation) Hash() uint64 {
-	h := xxhash.Sum64String(l.ID)
-	if l.Started == 0 {
+// Hash returns a 64-bit hash that identifies the incarnation.
+func (i Incarnation) Hash() uint64 {
+	h := xxhash.Sum64String(i.ID)
+	if i.Started == 0 {
 		return h
 	}
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:8], h)
-	binary.LittleEndian.PutUint64(both[8:], uint64(l.Started))
-	return xxhash.Sum64(both[:])
+	var buf [16]byte
+	binary.LittleEndian.PutUint64(buf[:8], h)
+	binary.LittleEndian.PutUint64(buf[8:], uint64(i.Started))
+	return xxhash.Sum64(buf[:])
 }
--- a/pkg/routing/regions.go
+++ b/pkg/routing/regions.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// Regions are those in which a request may be served and cached: the ones that its route allows,
-// and among them those that its organisation does.
+// Regions is the set of regions in which a request may be served and cached: those that both its
+// route and its organisation allow.
 type Regions struct{ route, organisation []string }
 
-// Regions are those of an organisation's requests on a route. The organisation may be nil.
+// Regions returns the regions allowed for an organisation's requests on a route. The organisation
+// may be nil.
 func (t *Table) Regions(o *Organisation, r *Route) Regions {
 	regions := Regions{route: r.Regions}
 	if o != nil {
@@ -15,26 +16,26 @@
 	return regions
 }
 
-// AllowsAll tells whether all regions may serve.
+// AllowsAll reports whether there is no restriction.
 func (r Regions) AllowsAll() bool { return len(r.route) == 0 && len(r.organisation) == 0 }
 
-// Allows tells whether a region may serve.
+// Allows reports whether the region is in the set.
 func (r Regions) Allows(region string) bool {
 	return allows(r.route, region) && allows(r.organisation, region)
 }
 
-// AllowsNone tells whether no region at all may serve, as what the route allows and what the
-// organisation allows have none in common.
+// AllowsNone reports whether the set is empty because the route and the organisation have no
+// allowed region in common.
 func (r Regions) AllowsNone() bool {
 	return len(r.route) > 0 && len(r.organisation) > 0 && !slices.ContainsFunc(r.route, r.Allows)
 }
 
+// allows reports whether a list of allowed regions, empty for all, includes the region.
 func allows(list []string, region string) bool {
 	return len(list) == 0 || slices.Contains(list, region)
 }
 
-// Filter returns those of some servers that stand where a request may be served; regionOf tells the
-// region of a hall.
+// Filter returns the servers in allowed regions; regionOf maps a hall to its region.
 func (r Regions) Filter(servers []Server, regionOf func(hall string) string) []Server {
 	if r.AllowsAll() {
 		return servers
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// Kind tells what may be repeated on a route.
+// Kind defines whether requests on a route may run more than once, and whether answers are streamed.
 type Kind int
 
-// Kinds of routes.
 const (
-	// KindOnce requests run at most once.
+	// KindOnce is for requests that must run at most once.
 	KindOnce Kind = iota
-	// KindRepeatable requests may run more than once.
+	// KindRepeatable is for requests that may run more than once.
 	KindRepeatable
-	// KindStream answers are series of events.
+	// KindStream is for requests whose answer is a stream of events.
 	KindStream
 )
 
@@ -33,43 +32,43 @@
 	return "once"
 }
 
-// Target is one service that a route leads to, with its share of the requests.
+// Target is a service of a route with its weight in the traffic split.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route maps requests with a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// FirstEventTarget is the time within which an answer, or its first event, is due.
+	// FirstEventTarget is the latency target for the answer or its first event.
 	FirstEventTarget time.Duration `json:"FirstTarget"`
-	// InterEventTarget is the longest pause between events; zero means none is set.
+	// InterEventTarget is the target for the longest gap between events; zero for no target.
 	InterEventTarget time.Duration `json:"BetweenTarget"`
-	// Priority is the route's rank; 0 is the most urgent.
+	// Priority orders routes; 0 is the most urgent.
 	Priority int
 	Targets  []Target
-	// MaxAttempts bounds the servers that one request is sent to.
+	// MaxAttempts is the maximum number of servers that a request is sent to.
 	MaxAttempts int
-	// Public routes need no API key.
+	// Public routes do not require an API key.
 	Public bool
-	// Resumable streams may go on at another server after their last event.
+	// Resumable streams may be continued by another server after their last event.
 	Resumable bool
-	// Regions are those in which its requests may be served and cached; empty for all.
+	// Regions are the regions in which requests may be served and cached; empty for all.
 	Regions []string `json:",omitempty"`
 }
 
-// Repeatable tells whether a request may run a second time.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
 }
 
-// PickService picks a target for draw, a number in [0,1).
+// PickService selects a service by weight; draw is a random number in [0,1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -91,39 +90,39 @@
 // Service is a pool of backend servers.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one server from all boxes.
+	// MaxConnections limits the connections to one server from all boxes.
 	MaxConnections int
-	// Engine marks model engines; MemoryTokens is the memory of one.
+	// Engine is set for model engines; MemoryTokens is the capacity of the KV cache of one, in tokens.
 	Engine       bool
 	MemoryTokens int
-	// Scaling is nil where servers can't be ordered.
+	// Scaling is nil if servers cannot be ordered.
 	Scaling *Scaling
-	// WarmUp is what a server bears after a start; zero where that makes no difference.
+	// WarmUp limits requests to a server after its start; zero for no limit.
 	WarmUp WarmUp `json:",omitzero"`
 }
 
-// WarmUp says what a server of a service bears while it warms up. Far above that it falls over.
+// WarmUp is the load that a server can take while it warms up. A server that gets far more may crash.
 type WarmUp struct {
-	// Duration is how long a server warms up after a start.
+	// Duration is the length of the warm-up after a start.
 	Duration time.Duration `json:"Time"`
-	// PerSecond is how many requests a second it bears meanwhile, from all boxes together.
+	// PerSecond is the maximum request rate from all boxes together.
 	PerSecond float64
 }
 
-// Limited tells whether servers that warm up bear less than others.
+// Limited reports whether requests to a server are limited during its warm-up.
 func (w WarmUp) Limited() bool { return w.PerSecond > 0 }
 
-// Scaling says which servers of a service can be ordered.
+// Scaling defines how many servers of a service can be ordered, and their prices.
 type Scaling struct {
-	// MinServers and MaxServers bound the servers in each hall.
+	// MinServers and MaxServers are the limits for each hall.
 	MinServers int `json:"Least"`
 	MaxServers int `json:"Most"`
-	// Boot is the time until an ordered server serves.
+	// Boot is the time from the order of a server until it is ready.
 	Boot time.Duration
-	// SpotPrice is the price of a server that may be taken away, as a share of one on demand;
-	// zero if there are none.
+	// SpotPrice is the price of a spot server as a fraction of the on-demand price; zero if there
+	// are no spot servers.
 	SpotPrice float64
-	// Prices are those of a server on demand by hall, for each second.
+	// Prices are the on-demand prices of a server per second, by hall.
 	Prices map[string]float64
 }
 
@@ -132,11 +131,11 @@
 	Name     string
 	Keys     []string
 	Priority int
-	// Regions are those in which its requests may be served and cached; empty for all.
+	// Regions are the regions in which its requests may be served and cached; empty for all.
 	Regions []string `json:",omitempty"`
 }
 
-// Limits bound what a caller may send, and how long it may rest.
+// Limits are the limits on the size and timing of a caller's requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -151,19 +150,18 @@
 	Address string
 	Hall    string
 	Slots   int
-	// Started tells the lives of a server apart that keeps its ID: the time of its start as
-	// it says itself, in milliseconds; zero if it does not. Only that it differs means anything,
-	// as clocks jump.
+	// Started is the start time reported by the server, in milliseconds; zero if it reports none.
+	// It distinguishes incarnations with the same ID. As clocks jump, it is compared for equality only.
 	Started int64
-	// Leaving servers get no new work.
+	// Leaving servers are draining: they get no new requests.
 	Leaving bool
-	// Spot servers cost less and may be taken away at short notice.
+	// Spot servers can be reclaimed by the provider at short notice.
 	Spot bool
-	// WarmUpRemaining is for how much longer it warms up, as it said when it wrote its entry.
+	// WarmUpRemaining is the time left in its warm-up when it wrote its entry.
 	WarmUpRemaining time.Duration `json:"WarmUp,omitzero"`
 }
 
-// Content is what a table is built from.
+// Content is the configuration that a table is built from.
 type Content struct {
 	Version       uint64
 	Routes        []Route
@@ -172,7 +170,7 @@
 	Limits        Limits
 }
 
-// Table is one version of the configuration.
+// Table is one version of the configuration, indexed for lookups.
 type Table struct {
 	Version uint64
 	Limits  Limits
@@ -181,15 +179,15 @@
 	routes   map[string][]*Route
 	services map[string]*Service
 	keys     map[string]*Organisation
-	ranks    map[rankKey]int
-	// least is the least urgent rank that occurs.
-	least int
-	// shortest are the shortest targets of the routes to each service.
-	shortest map[string]time.Duration
+	ranks    map[priorityPair]int
+	// leastUrgent is the least urgent rank in use.
+	leastUrgent int
+	// minFirstEventTargets holds the shortest first-event target of the routes to each service.
+	minFirstEventTargets map[string]time.Duration
 }
 
-// rankKey orders requests: the organisation's priority comes before the route's.
-type rankKey struct{ organisation, route int }
+// priorityPair orders requests by the priority of the organisation, then of the route.
+type priorityPair struct{ organisation, route int }
 
 // MaxRank is the least urgent rank.
 const MaxRank = 9
@@ -206,7 +204,7 @@
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.routes[normalHost(r.Host)] = append(t.routes[normalHost(r.Host)], r)
+		t.routes[normalizeHost(r.Host)] = append(t.routes[normalizeHost(r.Host)], r)
 	}
 	for _, list := range t.routes {
 		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
@@ -219,19 +217,19 @@
 			t.keys[k] = &c.Organisations[i]
 		}
 	}
-	t.ranks = ranks(c)
+	t.ranks = assignRanks(c)
 	for _, rank := range t.ranks {
-		t.least = max(t.least, rank)
+		t.leastUrgent = max(t.leastUrgent, rank)
 	}
-	t.shortest = shortestTargets(c)
+	t.minFirstEventTargets = computeMinFirstEventTargets(c)
 	return t
 }
 
-// LeastUrgentRank is the least urgent rank that occurs.
-func (t *Table) LeastUrgentRank() int { return t.least }
+// LeastUrgentRank returns the least urgent rank in use.
+func (t *Table) LeastUrgentRank() int { return t.leastUrgent }
 
-// shortestTargets returns the shortest target for a first event of the routes to each service.
-func shortestTargets(c Content) map[string]time.Duration {
+// computeMinFirstEventTargets returns the shortest first-event target of the routes to each service.
+func computeMinFirstEventTargets(c Content) map[string]time.Duration {
 	shortest := make(map[string]time.Duration, len(c.Services))
 	for i := range c.Routes {
 		target := c.Routes[i].FirstEventTarget
@@ -244,7 +242,7 @@
 	return shortest
 }
 
-// organisationPriorities are those that occur, in order. There are few, however many organisations.
+// organisationPriorities returns the distinct priorities of organisations in order.
 func organisationPriorities(c Content) []int {
 	set := make(map[int]bool)
 	for i := range c.Organisations {
@@ -253,32 +251,34 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-// MinFirstEventTarget is the shortest target of the routes to a service, zero if none has any.
-func (t *Table) MinFirstEventTarget(service string) time.Duration { return t.shortest[service] }
+// MinFirstEventTarget returns the shortest first-event target of the routes to a service, or zero.
+func (t *Table) MinFirstEventTarget(service string) time.Duration {
+	return t.minFirstEventTargets[service]
+}
 
-// ranks numbers the pairs of priorities that occur, the most urgent first. More
-// pairs than ranks share ranks in order.
-func ranks(c Content) map[rankKey]int {
-	set := make(map[rankKey]bool)
+// assignRanks maps each pair of priorities in use to a rank, most urgent first. If there are more
+// pairs than ranks, adjacent pairs share a rank.
+func assignRanks(c Content) map[priorityPair]int {
+	set := make(map[priorityPair]bool)
 	organisations := append(organisationPriorities(c), 0)
 	for i := range c.Routes {
 		for _, priority := range organisations {
-			set[rankKey{priority, c.Routes[i].Priority}] = true
+			set[priorityPair{priority, c.Routes[i].Priority}] = true
 		}
 	}
-	order := slices.SortedFunc(maps.Keys(set), func(a, b rankKey) int {
+	order := slices.SortedFunc(maps.Keys(set), func(a, b priorityPair) int {
 		return cmp.Or(cmp.Compare(a.organisation, b.organisation), cmp.Compare(a.route, b.route))
 	})
-	list := make(map[rankKey]int, len(order))
+	list := make(map[priorityPair]int, len(order))
 	for i, k := range order {
 		list[k] = i * (MaxRank + 1) / max(len(order), MaxRank+1)
 	}
 	return list
 }
 
-// Match returns the route of a host and path: the one with the longest prefix.
+// Match returns the route for a host and path with the longest matching prefix.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.routes[normalHost(host)] {
+	for _, r := range t.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -286,38 +286,39 @@
 	return nil, false
 }
 
-func normalHost(host string) string {
+// normalizeHost strips the port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Service returns a service by name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// OrganisationByKey returns the holder of an API key.
+// OrganisationByKey returns the organisation that an API key belongs to.
 func (t *Table) OrganisationByKey(key string) (*Organisation, bool) {
 	o, ok := t.keys[key]
 	return o, ok
 }
 
-// Organisations lists all of them. Callers must not change the list.
+// Organisations returns all organisations. Callers must not modify the slice.
 func (t *Table) Organisations() []Organisation { return t.content.Organisations }
 
-// Services lists all of them. Callers must not change the list.
+// Services returns all services. Callers must not modify the slice.
 func (t *Table) Services() []Service { return t.content.Services }
 
-// NeedsKey tells whether a route's callers must show an API key.
+// NeedsKey reports whether callers of a route must present an API key.
 func (t *Table) NeedsKey(r *Route) bool { return !r.Public && len(t.keys) > 0 }
 
-// Rank is the urgency of an organisation's requests on a route, 0 to MaxRank. The
-// organisation may be nil.
+// Rank returns the urgency of an organisation's requests on a route, from 0 (most urgent) to
+// MaxRank. The organisation may be nil.
 func (t *Table) Rank(o *Organisation, r *Route) int {
-	k := rankKey{0, r.Priority}
+	k := priorityPair{0, r.Priority}
 	if o != nil {
 		k.organisation = o.Priority
 	}
--- a/pkg/routing/table_test.go
+++ b/pkg/routing/table_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func table(organisations []Organisation, routes ...Route) *Table {
+func newTable(organisations []Organisation, routes ...Route) *Table {
 	return NewTable(Content{Version: 1, Routes: routes, Organisations: organisations})
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	x := table(nil, Route{Name: "short", Host: "A.example", Prefix: "/a/"}, Route{Name: "long", Host: "a.example", Prefix: "/a/b/"}, Route{Name: "root", Host: "b.example", Prefix: "/"})
+	x := newTable(nil, Route{Name: "short", Host: "A.example", Prefix: "/a/"}, Route{Name: "long", Host: "a.example", Prefix: "/a/b/"}, Route{Name: "root", Host: "b.example", Prefix: "/"})
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/a/b/c", "long"}, {"A.EXAMPLE:80", "/a/bc", "short"}, {"a.example", "/a", ""}, {"a.example", "/b/", ""},
 		{"b.example", "/anything", "root"}, {"c.example", "/a/", ""}, {"a.example", "", ""}, {"a.example", "/a%2Fb/", ""},
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestSplitFollowsWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"none", 0}, {"b", 10}}}
 	assert.Equal(t, "a", r.PickService(0))
 	assert.Equal(t, "a", r.PickService(0.899))
@@ -34,14 +34,14 @@
 	assert.Empty(t, (&Route{}).PickService(0.5))
 }
 
-func TestRanksKeepTheOrder(t *testing.T) {
+func TestRankPreservesPriorityOrder(t *testing.T) {
 	var organisations []Organisation
 	var routes []Route
 	for i := range 7 {
 		organisations = append(organisations, Organisation{Name: string(rune('a' + i)), Priority: i, Keys: []string{string(rune('a' + i))}})
 		routes = append(routes, Route{Priority: i})
 	}
-	x := table(organisations, routes...)
+	x := newTable(organisations, routes...)
 	last := 0
 	for i := range organisations {
 		for j := range routes {
@@ -52,13 +52,13 @@
 		}
 	}
 	assert.Equal(t, MaxRank, last)
-	few := table([]Organisation{{Priority: 1}}, Route{Priority: 0}, Route{Priority: 2})
+	few := newTable([]Organisation{{Priority: 1}}, Route{Priority: 0}, Route{Priority: 2})
 	assert.Less(t, few.Rank(&Organisation{Priority: 1}, &Route{Priority: 0}), few.Rank(&Organisation{Priority: 1}, &Route{Priority: 2}))
 }
 
-func TestKeysAreNeededWhereOrganisationsAre(t *testing.T) {
-	with := table([]Organisation{{Name: "a", Keys: []string{"k"}}})
-	without := table(nil)
+func TestNeedsKeyOnlyWithOrganisations(t *testing.T) {
+	with := newTable([]Organisation{{Name: "a", Keys: []string{"k"}}})
+	without := newTable(nil)
 	assert.True(t, with.NeedsKey(&Route{}))
 	assert.False(t, with.NeedsKey(&Route{Public: true}))
 	assert.False(t, without.NeedsKey(&Route{}))
