--- a/pkg/signals/backoff.go
+++ b/pkg/signals/backoff.go
@@ -6,45 +6,44 @@
 	"time"
 )
 
-// Backoff tells whether this box may send to a server that has asked for a Retry-After.
+// Backoff is the state of a server with respect to its last Retry-After.
 type Backoff int
 
 const (
 	// Accepting servers take requests.
 	Accepting Backoff = iota
-	// BackingOff servers get none until their Retry-After has passed.
+	// BackingOff servers get no requests until their Retry-After has passed.
 	BackingOff
-	// HalfOpen servers have had their time, and have not answered since: one request probes them.
+	// HalfOpen servers are past their Retry-After but have not answered since: one request probes them.
 	HalfOpen
 )
 
 const (
-	// backoffMost bounds a Retry-After that is believed.
-	backoffMost = 10 * time.Minute
-	// jitterShare is the part of a Retry-After, as a divisor, that is added to it by chance, and
-	// jitterMost bounds what is added: boxes that were turned away together come back one by one.
-	jitterShare = 8
-	jitterMost  = 500 * time.Millisecond
-	// halfOpenKept is how long a half-open server is remembered that gets no request.
-	halfOpenKept = time.Minute
+	// maxBackoff caps the Retry-After that a server can request.
+	maxBackoff = 10 * time.Minute
+	// Up to 1/jitterDivisor of a Retry-After, at most maxJitter, is added to it at random, so that boxes
+	// that were turned away together do not retry at the same time.
+	jitterDivisor = 8
+	maxJitter     = 500 * time.Millisecond
+	// halfOpenTTL is how long the state of a half-open server that gets no requests is kept.
+	halfOpenTTL = time.Minute
 )
 
-// backoffs holds when each server may get requests again.
+// backoffs maps each server to the time from which it may get requests again.
 type backoffs map[Key]time.Time
 
-// extend keeps requests from a server for a time from now on. It returns false where they are kept from it
-// for longer already.
+// extend starts or extends the backoff of a server. It returns false if the current one ends later.
 func (b backoffs) extend(key Key, retryAfter time.Duration, now time.Time) bool {
-	retryAfter = min(retryAfter, backoffMost)
-	if len(b) >= serversMost || !now.Add(retryAfter).After(b[key]) {
+	retryAfter = min(retryAfter, maxBackoff)
+	if len(b) >= maxServers || !now.Add(retryAfter).After(b[key]) {
 		return false
 	}
-	b[key] = now.Add(retryAfter + rand.N(min(retryAfter/jitterShare, jitterMost)+1))
+	b[key] = now.Add(retryAfter + rand.N(min(retryAfter/jitterDivisor, maxJitter)+1))
 	return true
 }
 
-// end takes in an answer without Retry-After to a request that was sent at a time. It returns whether that
-// ends a backoff.
+// end handles an answer without Retry-After to a request that was sent at the given time. It reports
+// whether that ends a backoff.
 func (b backoffs) end(key Key, sent time.Time) bool {
 	until, ok := b[key]
 	if !ok || sent.Before(until) {
@@ -54,7 +53,7 @@
 	return true
 }
 
-func (b backoffs) of(key Key, now time.Time) Backoff {
+func (b backoffs) state(key Key, now time.Time) Backoff {
 	until, ok := b[key]
 	switch {
 	case !ok:
@@ -65,7 +64,7 @@
 	return HalfOpen
 }
 
-// sweep forgets servers that have been half-open for long.
+// sweep evicts servers that have been half-open for longer than halfOpenTTL.
 func (b backoffs) sweep(now time.Time) {
-	maps.DeleteFunc(b, func(_ Key, until time.Time) bool { return now.Sub(until) > halfOpenKept })
+	maps.DeleteFunc(b, func(_ Key, until time.Time) bool { return now.Sub(until) > halfOpenTTL })
 }
--- a/pkg/signals/doc.go
+++ b/pkg/signals/doc.go
@@ -1,7 +1,7 @@
-// Package signals tracks what backend servers signal about themselves in the heads of their answers: a
-// rate limit for all boxes together, that they drain, and a Retry-After for this box.
+// Package signals tracks what backend servers report about themselves in response headers: a rate limit
+// for all boxes together, that they are draining, and a Retry-After for this box.
 //
-// A signal holds for one life of a server. Answers may overtake each other, so that one to an earlier
-// request proves nothing against a signal that is known already. No answer takes a drain back, or shortens
-// a Retry-After.
+// A signal applies to one incarnation of a server. Answers may arrive out of order, so an answer to a
+// request that was sent before a signal arrived does not cancel it. Draining is never revoked, and a
+// Retry-After is never shortened.
 package signals
--- a/pkg/signals/signals.go
+++ b/pkg/signals/signals.go
@@ -7,64 +7,63 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Signals are what a server says of itself in the head of one answer.
+// Signals is what a server reports in the headers of one answer.
 type Signals struct {
 	Limit Limit
-	// Leaving says that the server drains and ends before long.
+	// Leaving is set if the server is draining and will stop.
 	Leaving bool
-	// RetryAfter is for how long the server wants nothing from this box, zero if it does not say so.
+	// RetryAfter is how long this box must not send requests; zero if not set.
 	RetryAfter time.Duration
-	// Err is why a signal can't be read, nil if each can. That signal proves nothing, neither for nor
-	// against what is believed.
+	// Err is set if a signal is malformed. The current state for that signal is then kept.
 	Err error
 }
 
-// empty tells whether an answer signals nothing.
+// empty reports whether the answer carries no signals.
 func (s Signals) empty() bool {
 	return !s.Limit.Set && !s.Leaving && s.RetryAfter == 0 && s.Err == nil
 }
 
-// Limit is the rate that a server takes from all boxes together.
+// Limit is the request rate that a server accepts from all boxes together.
 type Limit struct {
-	// PerSecond is in requests.
+	// PerSecond is in requests per second.
 	PerSecond float64
 	// Set is false for a server without a limit.
 	Set bool
-	// Unknown says that the answer does not tell whether there is a limit.
+	// Unknown is set if the answer does not say whether there is a limit.
 	Unknown bool
 }
 
-// EffectiveRate is the requests a second that may go by the limit.
-func (l Limit) EffectiveRate() float64 { return max(l.PerSecond, probeRate) }
+// EffectiveRate returns the requests per second that may be sent, at least the probe rate.
+func (l Limit) EffectiveRate() float64 { return max(l.PerSecond, probeRequestsPerSecond) }
 
-// stricter tells whether a limit allows less than another one.
+// stricter reports whether the limit is lower than another one.
 func (l Limit) stricter(other Limit) bool {
 	return l.Set && (!other.Set || l.PerSecond < other.PerSecond)
 }
 
-// Observation is what answers have last said of a server, but for its Retry-After.
+// Observation is the latest state of a server according to its answers, except for Retry-After.
 type Observation struct {
 	Limit   Limit
 	Leaving bool
-	// ReceivedAt is when the latest of these answers came in.
+	// ReceivedAt is when the latest of these answers was received.
 	ReceivedAt time.Time
 }
 
 const (
-	// limitTTL is how long a limit is believed that no answer repeats, beside the time in which
-	// limitRequests requests go to the server by it.
+	// A limit that no answer repeats expires after limitTTL plus the time in which limitRequests
+	// requests are sent at its rate.
 	limitTTL      = 15 * time.Second
 	limitRequests = 4
-	// probeRate is the rate, in requests a second, at which a server is asked whose limit is lower: only
-	// its answers tell when the limit ends.
-	probeRate = 0.1
-	// leavingTTL is how long a server is believed to drain: by then it has ended.
+	// probeRequestsPerSecond is the minimum rate at which a limited server gets requests: only its answers
+	// tell when the limit has ended.
+	probeRequestsPerSecond = 0.1
+	// leavingTTL is how long a server is considered to be draining; by then it has stopped.
 	leavingTTL = time.Hour
-	// changeShared is how long boxes tell each other that a limit has ended or that a server drains.
-	changeShared = 5 * time.Second
+	// changeShareTTL is how long boxes share that a limit has ended or that a server is draining.
+	changeShareTTL = 5 * time.Second
 )
 
-// valid tells whether an observation is still believed.
+// valid reports whether an observation has not expired.
 func (o Observation) valid(now time.Time) bool {
 	age := now.Sub(o.ReceivedAt)
 	switch {
@@ -73,15 +72,15 @@
 	case o.Limit.Set:
 		return age <= limitTTL+time.Duration(limitRequests/o.Limit.EffectiveRate()*float64(time.Second))
 	}
-	return age <= changeShared
+	return age <= changeShareTTL
 }
 
-// shared tells whether other boxes should have an observation.
-func (o Observation) shared(now time.Time) bool {
-	return o.Limit.Set && !o.Leaving && o.valid(now) || now.Sub(o.ReceivedAt) <= changeShared
+// shouldShare reports whether an observation is to be sent to other boxes.
+func (o Observation) shouldShare(now time.Time) bool {
+	return o.Limit.Set && !o.Leaving && o.valid(now) || now.Sub(o.ReceivedAt) <= changeShareTTL
 }
 
-// Merge is what two observations say together: a drain is not taken back, of limits the later counts.
+// Merge combines two observations: draining is kept if either has it, and the later limit is used.
 func (o Observation) Merge(other Observation) Observation {
 	later := o
 	if other.ReceivedAt.After(o.ReceivedAt) {
@@ -91,20 +90,20 @@
 	return later
 }
 
-// Key is a server's life as boxes name it to each other, in short. Two servers may share one: then what is
-// believed of either counts for both.
+// Key is a hash of a server incarnation, as sent between boxes. If two servers have the same key, the
+// signals of either apply to both.
 type Key uint32
 
 // String implements fmt.Stringer.
 func (k Key) String() string { return strconv.FormatUint(uint64(k), 16) }
 
-// KeyOf is the key of a server's life.
+// KeyOf returns the key of a server incarnation.
 func KeyOf(l routing.Incarnation) Key { return Key(l.Hash()) }
 
-// Observations are by server.
+// Observations holds observations by server.
 type Observations map[Key]Observation
 
-// Merge merges other observations into these.
+// Merge merges other observations into o.
 func (o Observations) Merge(more Observations) {
 	for key, other := range more {
 		o[key] = o[key].Merge(other)
--- a/pkg/signals/tracker.go
+++ b/pkg/signals/tracker.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// serversMost bounds the servers whose signals are kept.
-	serversMost = 1 << 16
-	// sweepEvery is how often expired signals are looked for.
-	sweepEvery = 10 * time.Second
+	// maxServers is the maximum number of servers whose signals are kept.
+	maxServers = 1 << 16
+	// sweepInterval is how often expired signals are evicted.
+	sweepInterval = 10 * time.Second
 )
 
-// Tracker keeps the signals of servers, by their lives: those in answers to this box, and those that other
-// boxes share. A Retry-After counts for the box that it was sent to alone.
+// Tracker stores the signals of server incarnations: those in answers to this box and those that other
+// boxes share. A Retry-After applies only to the box that received it.
 type Tracker struct {
 	logger log.Logger
-	// onChange is called when there is something new to share.
+	// onChange is called when there is a change to share with other boxes.
 	onChange func()
-	// any says that there are signals. Nearly always there are none, and choices ask for each server.
-	any atomic.Bool
+	// hasSignals allows lookups to skip the lock when there are no signals, which is the common case.
+	hasSignals atomic.Bool
 
 	mu       sync.Mutex
 	local    Observations
 	remote   Observations
 	backoffs backoffs
-	// malformed are the servers that have sent a signal which can't be read.
+	// malformed holds the servers for which a malformed signal has been logged.
 	malformed map[Key]bool
-	swept     time.Time
+	lastSweep time.Time
 }
 
-// NewTracker returns a tracker without signals. onChange must neither block nor call the tracker.
+// NewTracker returns a tracker without signals. onChange must not block or call the tracker.
 func NewTracker(logger log.Logger, onChange func()) *Tracker {
 	return &Tracker{
 		logger: logger, onChange: onChange, local: make(Observations), remote: make(Observations), backoffs: make(backoffs),
@@ -45,9 +45,9 @@
 	}
 }
 
-// Observe takes in the head of an answer to a request that was sent at a time.
+// Observe processes the signals of an answer to a request that was sent at the given time.
 func (t *Tracker) Observe(server routing.Incarnation, s Signals, sent, now time.Time) {
-	if s.empty() && !t.any.Load() {
+	if s.empty() && !t.hasSignals.Load() {
 		return
 	}
 	t.mu.Lock()
@@ -58,27 +58,27 @@
 		t.logMalformed(server, key, s.Err)
 	}
 	t.observeRetryAfter(server, key, s.RetryAfter, sent, now)
-	before := t.observed(key, now)
+	before := t.current(key, now)
 	switch {
 	case before.Leaving:
 	case s.Leaving:
-		t.set(server, key, Observation{Limit: before.Limit, Leaving: true, ReceivedAt: now}, before, now.Sub(sent))
+		t.setLocal(server, key, Observation{Limit: before.Limit, Leaving: true, ReceivedAt: now}, before, now.Sub(sent))
 	case !s.Limit.Unknown:
 		t.observeLimit(server, key, s.Limit, before, sent, now)
 	}
-	t.updateAny()
+	t.updateHasSignals()
 }
 
-// logMalformed logs the first of a server's signals that can't be read. The caller holds mu.
+// logMalformed logs the first malformed signal of a server. The caller holds mu.
 func (t *Tracker) logMalformed(server routing.Incarnation, key Key, err error) {
-	if t.malformed[key] || len(t.malformed) >= serversMost {
+	if t.malformed[key] || len(t.malformed) >= maxServers {
 		return
 	}
 	t.malformed[key] = true
-	_ = level.Warn(t.logger).Log("msg", "server signal not read", "server", server, "err", err, "outcome", "what is believed of the server stays as it is")
+	_ = level.Warn(t.logger).Log("msg", "malformed server signal", "server", server, "err", err, "outcome", "keeping the previous state of the server")
 }
 
-// observeLimit takes in the limit of an answer, or that it has none. The caller holds mu.
+// observeLimit processes the limit of an answer, or that it has none. The caller holds mu.
 func (t *Tracker) observeLimit(server routing.Incarnation, key Key, l Limit, before Observation, sent, now time.Time) {
 	if !l.Set && !before.Limit.Set {
 		return
@@ -86,23 +86,23 @@
 	if l != before.Limit && before.Limit.Set && !sent.After(before.ReceivedAt) && !l.stricter(before.Limit) {
 		return
 	}
-	t.set(server, key, Observation{Limit: l, ReceivedAt: now}, before, now.Sub(sent))
+	t.setLocal(server, key, Observation{Limit: l, ReceivedAt: now}, before, now.Sub(sent))
 }
 
-// set takes in an observation from an answer to a request of an age. The caller holds mu.
-func (t *Tracker) set(server routing.Incarnation, key Key, o, before Observation, age time.Duration) {
-	if len(t.local) >= serversMost {
+// setLocal stores an observation from an answer to a request that was sent age ago. The caller holds mu.
+func (t *Tracker) setLocal(server routing.Incarnation, key Key, o, before Observation, age time.Duration) {
+	if len(t.local) >= maxServers {
 		return
 	}
 	t.local[key] = o
 	if o.Limit == before.Limit && o.Leaving == before.Leaving {
 		return
 	}
-	t.log(server.String(), "answer", o, before, age)
+	t.logChange(server.String(), "answer", o, before, age)
 	t.onChange()
 }
 
-// observeRetryAfter takes in the Retry-After of an answer, or that it has none. The caller holds mu.
+// observeRetryAfter processes the Retry-After of an answer, or that it has none. The caller holds mu.
 func (t *Tracker) observeRetryAfter(server routing.Incarnation, key Key, retryAfter time.Duration, sent, now time.Time) {
 	switch {
 	case retryAfter > 0 && t.backoffs.extend(key, retryAfter, now):
@@ -114,9 +114,9 @@
 	}
 }
 
-// log tells of a change of what is believed. Age is that of the request whose answer said so, or of the
-// observation that another box has shared.
-func (t *Tracker) log(server, source string, o, before Observation, age time.Duration) {
+// logChange logs a change in the state of a server. The age is that of the request whose answer carried
+// the signal, or of the observation received from another box.
+func (t *Tracker) logChange(server, source string, o, before Observation, age time.Duration) {
 	if o.Leaving != before.Leaving {
 		_ = level.Info(t.logger).Log("msg", "server signal", "signal", "leaving", "server", server, "source", source, "age_ms", age.Milliseconds())
 		return
@@ -125,88 +125,88 @@
 		"per_second", o.Limit.PerSecond, "before_set", before.Limit.Set, "before_per_second", before.Limit.PerSecond, "age_ms", age.Milliseconds())
 }
 
-// observed is what is believed of a server by all boxes' observations. The caller holds mu.
-func (t *Tracker) observed(key Key, now time.Time) Observation {
+// current returns the merged local and remote observations of a server. The caller holds mu.
+func (t *Tracker) current(key Key, now time.Time) Observation {
 	if o := t.local[key].Merge(t.remote[key]); o.valid(now) {
 		return o
 	}
 	return Observation{}
 }
 
-// State is what is believed of a server.
+// State is the current state of a server according to its signals.
 type State struct {
 	Limit   Limit
 	Leaving bool
 	Backoff Backoff
-	// BackoffEnd is when a server that does not accept requests may get them again.
+	// BackoffEnd is when a server that is not accepting requests may get them again.
 	BackoffEnd time.Time
 }
 
-// Constrained tells whether any signal of the server keeps requests from it.
+// Constrained reports whether any signal restricts requests to the server.
 func (s State) Constrained() bool { return s.Leaving || s.Limit.Set || s.Backoff == BackingOff }
 
-// HasSignals tells whether there are any signals.
-func (t *Tracker) HasSignals() bool { return t.any.Load() }
+// HasSignals reports whether there are signals of any server.
+func (t *Tracker) HasSignals() bool { return t.hasSignals.Load() }
 
-// State returns what is believed of a server.
+// State returns the current state of a server.
 func (t *Tracker) State(key Key, now time.Time) State {
-	if !t.any.Load() {
+	if !t.hasSignals.Load() {
 		return State{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := t.observed(key, now)
-	return State{Limit: o.Limit, Leaving: o.Leaving, Backoff: t.backoffs.of(key, now), BackoffEnd: t.backoffs[key]}
+	o := t.current(key, now)
+	return State{Limit: o.Limit, Leaving: o.Leaving, Backoff: t.backoffs.state(key, now), BackoffEnd: t.backoffs[key]}
 }
 
-// Report returns what this box has observed itself, for the other boxes.
+// Report returns the observations made by this box, for broadcast to the other boxes.
 func (t *Tracker) Report(now time.Time) Observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	list := maps.Clone(t.local)
-	maps.DeleteFunc(list, func(_ Key, o Observation) bool { return !o.shared(now) })
+	maps.DeleteFunc(list, func(_ Key, o Observation) bool { return !o.shouldShare(now) })
 	return list
 }
 
-// MergeRemote takes in what other boxes have observed.
+// MergeRemote merges the observations of other boxes.
 func (t *Tracker) MergeRemote(list Observations, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	for key, o := range list {
 		known := t.remote[key]
-		if known.Merge(o) == known || len(t.remote) >= serversMost {
+		if known.Merge(o) == known || len(t.remote) >= maxServers {
 			continue
 		}
-		before := t.observed(key, now)
+		before := t.current(key, now)
 		t.remote[key] = known.Merge(o)
-		if after := t.observed(key, now); after.Limit != before.Limit || after.Leaving != before.Leaving {
-			t.log(key.String(), "boxes", after, before, now.Sub(o.ReceivedAt))
+		if after := t.current(key, now); after.Limit != before.Limit || after.Leaving != before.Leaving {
+			t.logChange(key.String(), "boxes", after, before, now.Sub(o.ReceivedAt))
 		}
 	}
-	t.updateAny()
+	t.updateHasSignals()
 }
 
-// sweep drops expired signals, now and then. The caller holds mu.
+// sweep evicts expired signals, at most once per sweepInterval. The caller holds mu.
 func (t *Tracker) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for _, list := range []Observations{t.local, t.remote} {
 		maps.DeleteFunc(list, func(_ Key, o Observation) bool { return !o.valid(now) })
 	}
 	t.backoffs.sweep(now)
-	t.updateAny()
+	t.updateHasSignals()
 }
 
-// updateAny notes whether there are any signals. The caller holds mu.
-func (t *Tracker) updateAny() {
-	t.any.Store(len(t.local)+len(t.remote)+len(t.backoffs) > 0)
+// updateHasSignals recomputes hasSignals. The caller holds mu.
+func (t *Tracker) updateHasSignals() {
+	t.hasSignals.Store(len(t.local)+len(t.remote)+len(t.backoffs) > 0)
 }
 
-// Counts returns the number of servers by the signal that is believed of them.
+// Counts returns the number of servers for each kind of signal.
 func (t *Tracker) Counts(now time.Time) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,7 +223,7 @@
 		}
 	}
 	for key := range t.backoffs {
-		if t.backoffs.of(key, now) == BackingOff {
+		if t.backoffs.state(key, now) == BackingOff {
 			counts["retry-after"]++
 		}
 	}
