--- a/pkg/fleetlimit/doc.go
+++ b/pkg/fleetlimit/doc.go
@@ -1,8 +1,7 @@
-// Package fleetlimit bounds what the boxes of a fleet together send to a backend server that takes few
-// requests from all of them: one that warms up, or one that signals a limit in its answers.
+// Package fleetlimit limits the requests that all boxes of a fleet together send to a backend server that
+// is warming up or signals a rate limit in its answers.
 //
-// Boxes do not talk about it: for each server some of them, its keepers, may send to it while the limit
-// holds, each at its part of the rate. Who they are follows from the boxes' names alone, by a consistent
-// hash, so that boxes which know the same others agree, and those which know others differ in few
-// servers.
+// It works without coordination: for each limited server, a consistent hash of the box names selects a few
+// boxes as senders, and each of these gets an equal share of the rate. Boxes with the same member list
+// select the same senders; boxes with different lists disagree on few servers.
 package fleetlimit
--- a/pkg/fleetlimit/limit.go
+++ b/pkg/fleetlimit/limit.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// warmUpKeepers is how many boxes may send to a server that warms up. With two it still gets
-	// something where one of them is down.
-	warmUpKeepers = 2
-	// warmUpShare is the part of what a server that warms up bears that its keepers send together. The
-	// rest is for boxes that do not know yet that it warms up, and for keepers by an older list of boxes.
+	// warmUpSenders is the number of boxes that may send to a server that is warming up: two, so that it
+	// still gets requests if one of them is down.
+	warmUpSenders = 2
+	// warmUpShare is the fraction of the warm-up limit that the senders use together. The rest is headroom
+	// for boxes that do not know yet that the server is warming up, or that have an older member list.
 	warmUpShare = 0.5
-	// warmUpSettle is how long a box must have known the other boxes to be a keeper of servers that warm
-	// up: those that it takes the place of hear of it meanwhile.
-	warmUpSettle = 5 * time.Second
-	// signalledShare is the part of a limit that a server signals which its keepers send together. The rest is
-	// for requests that are on their way as the limit comes, and for boxes whose lists differ.
+	// warmUpSettleTime is how long a box must have known the other boxes before it sends to servers that
+	// are warming up, so that the senders that it replaces have learned of it.
+	warmUpSettleTime = 5 * time.Second
+	// signalledShare is the fraction of a signalled limit that the senders use together. The rest is
+	// headroom for requests in flight when the limit is signalled, and for boxes with different member lists.
 	signalledShare = 0.8
-	// signalledKeepers is how many boxes may send to a server that signals a limit, whatever it is: a small
-	// fleet sends with all of its boxes. Another keeper for each perKeeper requests a second keeps
-	// the part of each worth having, as a keeper may have one request saved up.
-	signalledKeepers = 4
-	perKeeper        = 2
-	// signalledBurst is the time whose requests a keeper may save up beside one, so that those which come
-	// close together are not sent elsewhere.
-	signalledBurst = 500 * time.Millisecond
+	// minSignalledSenders is the minimum number of senders for a signalled limit. One more sender is
+	// added for each requestsPerSecondPerSender of the limit.
+	minSignalledSenders        = 4
+	requestsPerSecondPerSender = 2
+	// signalledBurstTime is the time over which a sender may accumulate requests in addition to one, so
+	// that requests which arrive close together are not sent to other servers.
+	signalledBurstTime = 500 * time.Millisecond
 )
 
-// Limit is what a server takes from all boxes together, and how they share it. The zero Limit is none.
+// Limit is the request rate that a server accepts from all boxes together, and how they share it. The
+// zero Limit means no limit.
 type Limit struct {
-	// PerSecond is how many requests a second all keepers send together.
+	// PerSecond is the rate of all senders together, in requests per second.
 	PerSecond float64
-	// MaxSenders is how many boxes may send.
+	// MaxSenders is the maximum number of boxes that may send.
 	MaxSenders int
-	// SettleTime is how long a box must have known the other boxes to be a keeper.
+	// SettleTime is how long a box must have known the other boxes before it may send.
 	SettleTime time.Duration
-	// BurstTime is the time whose requests a keeper may save up beside one.
+	// BurstTime is the time over which a sender may accumulate requests in addition to one.
 	BurstTime time.Duration
-	// StaggerStart says that the server had requests before it had the limit: keepers begin with less than one
-	// saved up, by chance, so that they do not all send at once.
+	// StaggerStart is set if the server already got requests before the limit applied: senders start with a
+	// random fraction of a request accumulated, so that they do not all send at once.
 	StaggerStart bool
 }
 
-// WarmUpLimit is the limit of a server that warms up.
+// WarmUpLimit returns the limit of a server that is warming up.
 func WarmUpLimit(w routing.WarmUp) Limit {
-	return Limit{PerSecond: w.PerSecond * warmUpShare, MaxSenders: warmUpKeepers, SettleTime: warmUpSettle}
+	return Limit{PerSecond: w.PerSecond * warmUpShare, MaxSenders: warmUpSenders, SettleTime: warmUpSettleTime}
 }
 
-// SignalledLimit is the limit of a server that signals one in its answers.
+// SignalledLimit returns the limit of a server that signals a rate in its answers.
 func SignalledLimit(perSecond float64) Limit {
-	return Limit{PerSecond: perSecond * signalledShare, MaxSenders: signalledKeepers + int(min(perSecond, keepersMost)/perKeeper), BurstTime: signalledBurst, StaggerStart: true}
+	return Limit{PerSecond: perSecond * signalledShare, MaxSenders: minSignalledSenders + int(min(perSecond, maxRequestsPerSecond)/requestsPerSecondPerSender), BurstTime: signalledBurstTime, StaggerStart: true}
 }
 
-// keepersMost bounds the limit by which keepers are counted: no fleet has as many boxes.
-const keepersMost = 1 << 20
+// maxRequestsPerSecond caps the rate from which the number of senders is derived.
+const maxRequestsPerSecond = 1 << 20
 
-// Stricter is the limit of two that lets less pass; none lets all pass.
+// Stricter returns the lower of two limits; the zero Limit is the highest.
 func (l Limit) Stricter(other Limit) Limit {
 	if l.IsZero() || !other.IsZero() && other.PerSecond < l.PerSecond {
 		return other
@@ -65,13 +65,13 @@
 	return l
 }
 
-// IsZero tells whether there is no limit.
+// IsZero reports whether there is no limit.
 func (l Limit) IsZero() bool { return l == Limit{} }
 
-// part is the rate of one keeper, of so many boxes.
-func (l Limit) part(boxes int) float64 {
+// ratePerSender returns the rate of one sender, in requests per second.
+func (l Limit) ratePerSender(boxes int) float64 {
 	return l.PerSecond / float64(max(1, min(l.MaxSenders, boxes)))
 }
 
-// burst is how many requests one keeper of so many boxes may send at once.
-func (l Limit) burst(boxes int) int { return 1 + int(l.part(boxes)*l.BurstTime.Seconds()) }
+// burstSize returns how many requests one sender may send at once.
+func (l Limit) burstSize(boxes int) int { return 1 + int(l.ratePerSender(boxes)*l.BurstTime.Seconds()) }
--- a/pkg/fleetlimit/limiter.go
+++ b/pkg/fleetlimit/limiter.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// forgetAfter is how long a server is remembered that no choice looks at.
-	forgetAfter = time.Minute
-	// sweepEach is after how many new servers those that can be forgotten are looked for.
-	sweepEach = 64
+	// idleTTL is how long the state of a server is kept after its last use.
+	idleTTL = time.Minute
+	// sweepAfterAdds is the number of added servers after which idle ones are evicted.
+	sweepAfterAdds = 64
 )
 
-// Limiter is one box's part of the limits of servers.
+// Limiter enforces one box's share of the limits of servers.
 type Limiter struct {
 	box    string
 	logger log.Logger
@@ -28,63 +28,64 @@
 	mu    sync.Mutex
 	boxes []string
 	ring  *ring
-	// known is since when other boxes have been known; zero if they are not.
-	known   time.Time
-	servers map[routing.Incarnation]*allowance
-	added   int
+	// boxesKnownSince is when the members were first set; zero if they are not known yet.
+	boxesKnownSince time.Time
+	servers         map[routing.Incarnation]*allowance
+	addedSinceSweep int
 }
 
 // allowance is what this box may send to one server.
 type allowance struct {
 	limit  Limit
 	bucket *rate.Limiter
-	// ring is the one by which keeper was worked out.
-	ring   *ring
-	keeper bool
-	// used is when a choice last looked at it.
-	used time.Time
+	// ring is the ring from which isSender was computed.
+	ring     *ring
+	isSender bool
+	// lastUsed is when the allowance was last looked up.
+	lastUsed time.Time
 }
 
-// New returns a limiter of a box that knows no others yet: it sends nothing to limited servers.
+// New returns a limiter that does not know the other boxes yet: until SetBoxes is called, nothing is
+// sent to limited servers.
 func New(box string, logger log.Logger) *Limiter {
 	return &Limiter{box: box, logger: logger, ring: newRing(nil), servers: make(map[routing.Incarnation]*allowance)}
 }
 
-// SetBoxes sets the boxes of the fleet, this one included.
+// SetBoxes sets the boxes of the fleet, including this one.
 func (l *Limiter) SetBoxes(boxes []string, now time.Time) {
 	boxes = slices.Sorted(slices.Values(boxes))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known.IsZero() {
-		l.known = now
+	if l.boxesKnownSince.IsZero() {
+		l.boxesKnownSince = now
 	}
 	if !slices.Equal(boxes, l.boxes) {
 		l.boxes, l.ring = boxes, newRing(boxes)
 	}
 }
 
-// Allows tells whether this box may send a request now to a server with a limit.
+// Allows reports whether this box may send a request to a server with a limit now.
 func (l *Limiter) Allows(server routing.Incarnation, limit Limit, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, kept := l.kept(server, limit, now)
-	return kept && a.bucket.TokensAt(now) >= 1
+	a, isSender := l.senderAllowance(server, limit, now)
+	return isSender && a.bucket.TokensAt(now) >= 1
 }
 
-// Take counts a request to a server with a limit.
+// Take counts a request sent to a server with a limit.
 func (l *Limiter) Take(server routing.Incarnation, limit Limit, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(server, limit, now).bucket.AllowN(now, 1)
+	l.allowanceFor(server, limit, now).bucket.AllowN(now, 1)
 }
 
-// NextAllowed is how many requests a second this box may send to a server with a limit, and when the next one
-// may go. The rate is zero for a box that sends it none.
+// NextAllowed returns the rate, in requests per second, at which this box may send to a server with a
+// limit, and when the next request may be sent. The rate is zero if this box is not a sender.
 func (l *Limiter) NextAllowed(server routing.Incarnation, limit Limit, now time.Time) (perSecond float64, next time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, kept := l.kept(server, limit, now)
-	if !kept || a.bucket.Limit() == 0 {
+	a, isSender := l.senderAllowance(server, limit, now)
+	if !isSender || a.bucket.Limit() == 0 {
 		return 0, time.Time{}
 	}
 	perSecond = float64(a.bucket.Limit())
@@ -92,25 +93,26 @@
 	return perSecond, now.Add(time.Duration(missing / perSecond * float64(time.Second)))
 }
 
-// kept returns the allowance of a server, and whether this box is one of its keepers. The caller holds mu.
-func (l *Limiter) kept(server routing.Incarnation, limit Limit, now time.Time) (*allowance, bool) {
-	if l.known.IsZero() || now.Sub(l.known) < limit.SettleTime {
+// senderAllowance returns the allowance of a server, and whether this box is one of its senders. The
+// caller holds mu.
+func (l *Limiter) senderAllowance(server routing.Incarnation, limit Limit, now time.Time) (*allowance, bool) {
+	if l.boxesKnownSince.IsZero() || now.Sub(l.boxesKnownSince) < limit.SettleTime {
 		return nil, false
 	}
-	a := l.of(server, limit, now)
-	return a, a.keeper
+	a := l.allowanceFor(server, limit, now)
+	return a, a.isSender
 }
 
-// of returns the allowance of a server. The caller holds mu.
-func (l *Limiter) of(server routing.Incarnation, limit Limit, now time.Time) *allowance {
+// allowanceFor returns the allowance of a server, creating it if needed. The caller holds mu.
+func (l *Limiter) allowanceFor(server routing.Incarnation, limit Limit, now time.Time) *allowance {
 	a, ok := l.servers[server]
 	if !ok {
-		l.forget(now)
+		l.evictIdle(now)
 		a = &allowance{}
 		l.servers[server] = a
-		l.added++
+		l.addedSinceSweep++
 	}
-	a.used = now
+	a.lastUsed = now
 	if a.bucket == nil || limit.StaggerStart && !a.limit.StaggerStart {
 		a.bucket = l.newBucket(limit, now)
 	}
@@ -120,37 +122,37 @@
 	return a
 }
 
-// newBucket returns the bucket of a limit that begins to hold. The caller holds mu.
+// newBucket returns a token bucket for a limit that starts to apply. The caller holds mu.
 func (l *Limiter) newBucket(limit Limit, now time.Time) *rate.Limiter {
-	part, burst := limit.part(l.ring.boxes), limit.burst(l.ring.boxes)
-	bucket := rate.NewLimiter(rate.Limit(part), burst)
-	if limit.StaggerStart && part > 0 {
-		saved := time.Duration(rand.Float64() / part * float64(time.Second))
-		bucket.AllowN(now.Add(-saved), burst)
+	perSecond, burst := limit.ratePerSender(l.ring.boxes), limit.burstSize(l.ring.boxes)
+	bucket := rate.NewLimiter(rate.Limit(perSecond), burst)
+	if limit.StaggerStart && perSecond > 0 {
+		accrued := time.Duration(rand.Float64() / perSecond * float64(time.Second))
+		bucket.AllowN(now.Add(-accrued), burst)
 	}
 	return bucket
 }
 
-// update works an allowance out anew for a limit and the boxes of now. The caller holds mu.
+// update recomputes an allowance for a limit and the current members. The caller holds mu.
 func (l *Limiter) update(a *allowance, server routing.Incarnation, limit Limit, now time.Time) {
-	before := a.keeper
-	a.ring, a.limit, a.keeper = l.ring, limit, l.ring.has(l.box, server.Hash(), limit.MaxSenders)
-	a.bucket.SetLimitAt(now, rate.Limit(limit.part(l.ring.boxes)))
-	a.bucket.SetBurstAt(now, limit.burst(l.ring.boxes))
-	if a.keeper != before {
-		_ = level.Info(l.logger).Log("msg", "keeper of a limited server", "server", server, "keeper", a.keeper, "boxes", l.ring.boxes,
+	wasSender := a.isSender
+	a.ring, a.limit, a.isSender = l.ring, limit, l.ring.selects(l.box, server.Hash(), limit.MaxSenders)
+	a.bucket.SetLimitAt(now, rate.Limit(limit.ratePerSender(l.ring.boxes)))
+	a.bucket.SetBurstAt(now, limit.burstSize(l.ring.boxes))
+	if a.isSender != wasSender {
+		_ = level.Info(l.logger).Log("msg", "sender role for limited server changed", "server", server, "keeper", a.isSender, "boxes", l.ring.boxes,
 			"keepers", limit.MaxSenders, "per_second", float64(a.bucket.Limit()))
 	}
 }
 
-// forget drops servers that no choice has looked at for long. The caller holds mu.
-func (l *Limiter) forget(now time.Time) {
-	if l.added < sweepEach {
+// evictIdle evicts servers that have not been used for idleTTL. The caller holds mu.
+func (l *Limiter) evictIdle(now time.Time) {
+	if l.addedSinceSweep < sweepAfterAdds {
 		return
 	}
-	l.added = 0
+	l.addedSinceSweep = 0
 	for server, a := range l.servers {
-		if now.Sub(a.used) > forgetAfter {
+		if now.Sub(a.lastUsed) > idleTTL {
 			delete(l.servers, server)
 		}
 	}
--- a/pkg/fleetlimit/limittest/limittest.go
+++ b/pkg/fleetlimit/limittest/limittest.go
@@ -1,29 +1,31 @@
-// Package limittest checks what a server got against the rate limit that it signals.
+// Package limittest checks the requests that a server received against the rate limit that it signals.
 package limittest
 
 import "time"
 
 const (
-	// BindingDelay is from when on a limit binds, after it was first signalled.
+	// BindingDelay is the time after a limit is first signalled from which it must be observed.
 	BindingDelay = 3 * time.Second
-	// Window is the time in which requests are counted; overshoot and slack are what the operators allow
-	// above the limit.
-	Window    = 4 * time.Second
-	overshoot = 1.5
-	slack     = 5
+	// Window is the time over which requests are counted. The limit may be exceeded by the factor overshoot
+	// and by slackRequests.
+	Window        = 4 * time.Second
+	overshoot     = 1.5
+	slackRequests = 5
 )
 
-// MaxRequests is how many requests a server with a limit may get within any window.
-func MaxRequests(perSecond float64) float64 { return overshoot*perSecond*Window.Seconds() + slack }
+// MaxRequests returns how many requests a server with a limit may receive within any Window.
+func MaxRequests(perSecond float64) float64 {
+	return overshoot*perSecond*Window.Seconds() + slackRequests
+}
 
-// MaxWithin is the most of some times, in order, that lie within any window of a length.
+// MaxWithin returns the maximum number of times, given in order, within any window of a length.
 func MaxWithin(times []time.Time, window time.Duration) int {
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, t := range times {
 		for t.Sub(times[first]) >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
--- a/pkg/fleetlimit/ring.go
+++ b/pkg/fleetlimit/ring.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pointsPerBox is how many points each box has on the ring: with more of them the servers are
-// spread more evenly, and a new ring takes longer to make.
+// pointsPerBox is the number of points of each box on the ring. More points distribute servers more
+// evenly but make the ring more expensive to build.
 const pointsPerBox = 16
 
-// point is a place of a box on the ring.
+// point is a position of a box on the ring.
 type point struct {
-	at  uint64
-	box string
+	hash uint64
+	box  string
 }
 
-// ring is a consistent hash of boxes. It is immutable.
+// ring is an immutable consistent-hash ring of boxes.
 type ring struct {
 	points []point
 	boxes  int
@@ -28,22 +28,22 @@
 	r := &ring{points: make([]point, 0, len(boxes)*pointsPerBox), boxes: len(boxes)}
 	for _, box := range boxes {
 		for i := range pointsPerBox {
-			r.points = append(r.points, point{at: xxhash.Sum64String(box + "#" + strconv.Itoa(i)), box: box})
+			r.points = append(r.points, point{hash: xxhash.Sum64String(box + "#" + strconv.Itoa(i)), box: box})
 		}
 	}
-	slices.SortFunc(r.points, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.box, b.box)) })
+	slices.SortFunc(r.points, func(a, b point) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.box, b.box)) })
 	return r
 }
 
-// has tells whether a box is among the first n distinct ones behind a key.
-func (r *ring) has(box string, key uint64, n int) bool {
+// selects reports whether a box is among the first n distinct boxes that follow a key on the ring.
+func (r *ring) selects(box string, key uint64, n int) bool {
 	if n >= r.boxes {
 		return slices.ContainsFunc(r.points, func(p point) bool { return p.box == box })
 	}
-	begin, _ := slices.BinarySearchFunc(r.points, key, func(p point, key uint64) int { return cmp.Compare(p.at, key) })
+	first, _ := slices.BinarySearchFunc(r.points, key, func(p point, key uint64) int { return cmp.Compare(p.hash, key) })
 	seen := make(map[string]bool, n)
 	for i := range r.points {
-		p := r.points[(begin+i)%len(r.points)]
+		p := r.points[(first+i)%len(r.points)]
 		if p.box == box {
 			return true
 		}
--- a/pkg/fleetlimit/signalled_test.go
+++ b/pkg/fleetlimit/signalled_test.go
@@ -13,15 +13,15 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// sendEagerly has boxes send to a server as often as they may, each as it believes the limit to be: some
-// hear of a change late. Boxes are killed now and then. It returns when requests were sent.
-func sendEagerly(boxes []*box, server routing.Incarnation, limit func(at time.Duration) Limit, lag []time.Duration, length time.Duration, kill float64, draw *rand.Rand) []time.Time {
-	begin := time.Now()
+// sendEagerly lets boxes send as many requests to a server as their limiters allow, each box seeing the
+// limit with its own lag. Boxes restart with probability kill per step. It returns the send times.
+func sendEagerly(boxes []*box, server routing.Incarnation, limit func(at time.Duration) Limit, lag []time.Duration, length time.Duration, kill float64, rng *rand.Rand) []time.Time {
+	start := time.Now()
 	var sent []time.Time
-	for at := time.Duration(0); at < length; at += step {
-		now := begin.Add(at)
+	for at := time.Duration(0); at < length; at += sendInterval {
+		now := start.Add(at)
 		for i, b := range boxes {
-			if draw.Float64() < kill {
+			if rng.Float64() < kill {
 				b.start(now)
 			}
 			l := limit(max(0, at-lag[i]))
@@ -34,26 +34,25 @@
 	return sent
 }
 
-// Guards against a server in need that gets what each box thinks right: eager boxes stay within its
-// limit, though some know a box that others do not know yet, boxes are killed, and the limit changes and
-// is heard of late.
+// A signalled limit must hold if member lists differ by one box, boxes restart, and the limit is lowered
+// and learned with a lag.
 func TestFleetStaysWithinTheLimitOfAServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 3, 7, 14, 84}).Draw(t, "boxes")
-		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		perSecond := rapid.Float64Range(0, 60).Draw(t, "per second")
 		falls := rapid.Bool().Draw(t, "falls")
 		server := routing.Incarnation{ID: rapid.StringMatching(`i-[0-9a-f]{6}`).Draw(t, "server")}
 		boxes := make([]*box, n+1)
 		lag := make([]time.Duration, n+1)
 		for i := range boxes {
-			list := names(n)
-			if i == n || draw.IntN(4) == 0 {
+			list := boxNames(n)
+			if i == n || rng.IntN(4) == 0 {
 				list = append(list, "box-new")
 			}
-			boxes[i] = &box{name: fmt.Sprintf("box-%d", i), list: list}
+			boxes[i] = &box{name: fmt.Sprintf("box-%d", i), members: list}
 			boxes[i].start(time.Now())
-			lag[i] = time.Duration(draw.Int64N(int64(500 * time.Millisecond)))
+			lag[i] = time.Duration(rng.Int64N(int64(500 * time.Millisecond)))
 		}
 		boxes[n].name = "box-new"
 		boxes[n].start(time.Now())
@@ -64,24 +63,24 @@
 			}
 			return SignalledLimit(perSecond)
 		}
-		begin := time.Now()
-		sent := sendEagerly(boxes, server, limit, lag, 3*change, 0.0005/float64(n), draw)
-		// A limit binds some time after it is signalled, which what has been sent before it can't know of.
+		start := time.Now()
+		sent := sendEagerly(boxes, server, limit, lag, 3*change, 0.0005/float64(n), rng)
+		// Requests sent before the limit is binding are not counted.
 		for i, at := range sent {
-			if at.Sub(begin) > change+limittest.BindingDelay {
+			if at.Sub(start) > change+limittest.BindingDelay {
 				sent = sent[i:]
 				break
 			}
 		}
-		if most, bound := limittest.MaxWithin(sent, limittest.Window), limittest.MaxRequests(perSecond); float64(most) > bound {
-			t.Fatalf("%d requests in %s, allowed are %.1f", most, limittest.Window, bound)
+		if got, bound := limittest.MaxWithin(sent, limittest.Window), limittest.MaxRequests(perSecond); float64(got) > bound {
+			t.Fatalf("%d requests within %s, want at most %.1f", got, limittest.Window, bound)
 		}
 	})
 }
 
-// A limited server is not starved, however many boxes there are: it gets most of what it takes from
-// boxes that agree.
-func TestLimitedServerGetsMostOfWhatItTakes(t *testing.T) {
+// A limited server must get most of its limit from a fleet of any size whose boxes have the same member
+// list.
+func TestLimitedServerIsNotStarved(t *testing.T) {
 	const length = time.Minute
 	for n, limits := range map[int][]float64{
 		1: {0.5, 1, 2.3, 8, 40}, 3: {0.5, 1, 2.3, 8, 40}, 14: {0.5, 1, 2.3, 8, 40}, 100: {1, 8}, 985: {2.3},
@@ -89,9 +88,9 @@
 		for _, perSecond := range limits {
 			t.Run(fmt.Sprintf("boxes=%d/limit=%g", n, perSecond), func(t *testing.T) {
 				boxes := make([]*box, n)
-				list := names(n)
+				list := boxNames(n)
 				for i := range boxes {
-					boxes[i] = &box{name: list[i], list: list}
+					boxes[i] = &box{name: list[i], members: list}
 					boxes[i].start(time.Now())
 				}
 				limit := func(time.Duration) Limit { return SignalledLimit(perSecond) }
@@ -102,7 +101,7 @@
 	}
 }
 
-func TestStricterLimitCounts(t *testing.T) {
+func TestStricterPicksLowerLimit(t *testing.T) {
 	warm := WarmUpLimit(routing.WarmUp{Duration: time.Second, PerSecond: 8})
 	assert.Equal(t, warm, Limit{}.Stricter(warm))
 	assert.Equal(t, warm, warm.Stricter(Limit{}))
