--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,4 +1,3 @@
-// Package quarantine keeps requests that crash backend servers away from them. A request
-// is known again by its fingerprint, whichever box it comes to; what a box learns of one is
-// shared with the others.
+// Package quarantine detects requests that crash backend servers and holds them back. Requests
+// are identified by fingerprint, and boxes share with each other which servers crashed under them.
 package quarantine
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what makes two requests the same: who asks, and what. Its id, deadline and
-// hints are new at each try and do not count.
+// Request is the part of a request that identifies it across retries. The request ID, the deadline and
+// hints change with each attempt and are left out.
 type Request struct {
-	// Organisation is "" for callers without one.
+	// Organisation is empty for callers without one.
 	Organisation string
 	Method       string
 	Host         string
@@ -20,13 +20,13 @@
 	Body   []byte
 }
 
-// parts are all that makes a request but its body.
+// parts returns all fields except the body.
 func (r *Request) parts() [4]string {
 	return [...]string{r.Organisation, r.Method, r.Host, r.Target}
 }
 
-// Outline is a cheap hash of a request without the contents of its body. Requests that are the
-// same have the same outline; most others have another, so that their bodies need no hash.
+// Outline is a cheap hash of a request that covers only the length of its body. It rules out most
+// requests that are not suspects without hashing their bodies.
 type Outline uint64
 
 // OutlineOf returns the outline of a request.
@@ -38,27 +38,28 @@
 	}
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(r.Body)))
-	_, _ = h.Write(length[:]) // A digest takes all that is written.
+	_, _ = h.Write(length[:]) // Write never returns an error.
 	return Outline(h.Sum64())
 }
 
-// writePart writes a part and its end, so that two lists of parts never read the same.
+// writePart writes a part followed by a terminator, so that different parts cannot concatenate to the
+// same input.
 func writePart(h *xxhash.Digest, part string) {
 	_, _ = h.WriteString(part)
 	_, _ = h.Write([]byte{0})
 }
 
-// digestLength is that of the digest that is kept, in bytes: nobody finds two requests with the
-// same one, so that no caller can have another's request taken for his own.
-const digestLength = 16
+// digestBytes is the size of a digest. It is large enough that a caller cannot construct a request
+// with the digest of another one.
+const digestBytes = 16
 
-// Fingerprint names a request.
+// Fingerprint identifies a request.
 type Fingerprint struct {
 	Outline Outline
-	Digest  [digestLength]byte
+	Digest  [digestBytes]byte
 }
 
-// FingerprintOf returns the fingerprint of a request, which takes a hash of its body.
+// FingerprintOf returns the fingerprint of a request, which requires hashing its body.
 func FingerprintOf(r *Request) Fingerprint {
 	h := sha256.New()
 	for _, part := range r.parts() {
@@ -71,8 +72,8 @@
 	return f
 }
 
-// stringLength is how much of a digest stands in logs, in bytes.
-const stringLength = 6
+// nameBytes is the number of digest bytes in the name of a fingerprint.
+const nameBytes = 6
 
-// String is the name of the fingerprint in logs.
-func (f Fingerprint) String() string { return hex.EncodeToString(f.Digest[:stringLength]) }
+// String returns the name used in logs and by operators.
+func (f Fingerprint) String() string { return hex.EncodeToString(f.Digest[:nameBytes]) }
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// Requests with another organisation, method, host, target or body are others, also where the
-// parts put together read the same. Parts of HTTP requests hold no zero bytes; bodies may.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+// Requests that differ in organisation, method, host, target or body must have different fingerprints, also
+// if the parts concatenate to the same bytes. Only bodies may contain zero bytes.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRequest(t), drawRequest(t)
 		for _, r := range []*Request{&a, &b} {
--- a/pkg/quarantine/gossiper.go
+++ b/pkg/quarantine/gossiper.go
@@ -17,271 +17,272 @@
 )
 
 const (
-	// kind marks the datagrams of this package.
-	kind = "quarantine"
-	// directMost is how many other boxes are told directly. With more, each box tells
-	// fanout others, drawn anew for each message, and these tell on what they did not know:
-	// of 300 boxes 99 in 100 hear of an item so, within three steps, and the repeats reach
-	// the rest.
-	directMost = 24
-	fanout     = 6
-	// gatherPause lets what comes close together go out together.
-	gatherPause = 5 * time.Millisecond
-	// sendsOwn is how often what this box has found out is told, sendsPassed how often what it
-	// passes on; sendPause lies between, growing by sendGrowth.
-	sendsOwn    = 3
-	sendsPassed = 1
-	sendPause   = 100 * time.Millisecond
-	sendGrowth  = 3
-	// refreshPause is how often the most suspect requests, those with refreshLeast ends, are
-	// told again to refreshPeers boxes, so that one that missed all of it learns of them: a
-	// box hears from two others a second on average. At most refreshMost are told.
-	refreshPause = time.Second
-	refreshLeast = 2
-	refreshPeers = 2
-	refreshMost  = 50
-	// askPause is how often a box that has just started asks askPeers others what they know;
-	// answerMost bounds the items of the answer.
-	askPause   = 150 * time.Millisecond
-	askPeers   = 3
-	answerMost = 400
-	inboxMost  = 256
+	// datagramKind is the kind of the datagrams of this package.
+	datagramKind = "quarantine"
+	// maxDirectPeers is the largest number of peers that are all notified directly. With more peers, each box
+	// sends to fanout random ones, which relay what is new to them.
+	maxDirectPeers = 24
+	fanout         = 6
+	// batchDelay is how long changes are collected previous they are sent.
+	batchDelay = 5 * time.Millisecond
+	// Changes made by this box are sent localSends times, relayed ones relayedSends times. The delay between
+	// sends starts at resendDelay and is multiplied by resendBackoffFactor.
+	localSends          = 3
+	relayedSends        = 1
+	resendDelay         = 100 * time.Millisecond
+	resendBackoffFactor = 3
+	// Every refreshInterval, up to maxRefreshItems items with at least refreshMinCrashes crashes are sent to
+	// refreshPeers random peers, for boxes that missed earlier messages.
+	refreshInterval   = time.Second
+	refreshMinCrashes = 2
+	refreshPeers      = 2
+	maxRefreshItems   = 50
+	// Until it is synced, a box asks syncRequestPeers random peers for their items every syncRequestInterval.
+	// maxReplyItems limits the items of a reply.
+	syncRequestInterval = 150 * time.Millisecond
+	syncRequestPeers    = 3
+	maxReplyItems       = 400
+	// inboxSize is the number of received messages that are queued.
+	inboxSize = 256
 )
 
-// SharerDeps are what a Sharer is built on.
-type SharerDeps struct {
+// GossiperDeps are the dependencies of a Gossiper.
+type GossiperDeps struct {
 	Port *datagram.Port
-	// Peers are the addresses of the other boxes.
+	// Peers returns the addresses of the other boxes.
 	Peers  func() []*net.UDPAddr
 	Ledger *Ledger
 	Logger log.Logger
 }
 
-// Sharer tells other boxes what this one's ledger learns, and the ledger what they tell.
-type Sharer struct {
-	SharerDeps
-	kick  chan struct{}
+// Gossiper exchanges the evidence in the ledger with other boxes.
+type Gossiper struct {
+	GossiperDeps
+	wake  chan struct{}
 	inbox chan received
 
 	mu sync.Mutex
-	// rumours are the items that are being told.
-	rumours  map[Fingerprint]*rumour
-	informed bool
+	// pending holds the items that are still to be sent.
+	pending map[Fingerprint]*pendingItem
+	// synced is set once the ledger has the contents of the stored record.
+	synced bool
 }
 
-// rumour is an item that is told some times more.
-type rumour struct {
-	own   bool
+// pendingItem is the send schedule of an item.
+type pendingItem struct {
+	local bool
 	sends int
 	next  time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-// received is a message that has arrived.
+// received is a decoded message with its sender and time of arrival.
 type received struct {
 	from     *net.UDPAddr
 	at       time.Time
 	evidence *quarantinepb.Evidence
 }
 
-// NewSharer returns a sharer that hears the port's messages from now on.
-func NewSharer(d SharerDeps) *Sharer {
-	s := &Sharer{SharerDeps: d, kick: make(chan struct{}, 1), inbox: make(chan received, inboxMost), rumours: make(map[Fingerprint]*rumour)}
-	d.Port.Handle(kind, s.receive)
-	d.Ledger.onChange = s.noteChange
-	return s
+// NewGossiper returns a gossiper and registers it for messages on the port.
+func NewGossiper(d GossiperDeps) *Gossiper {
+	g := &Gossiper{GossiperDeps: d, wake: make(chan struct{}, 1), inbox: make(chan received, inboxSize), pending: make(map[Fingerprint]*pendingItem)}
+	d.Port.Handle(datagramKind, g.receive)
+	d.Ledger.onChange = g.enqueue
+	return g
 }
 
-// receive decodes a message and hands it to the sharer's goroutine.
-func (s *Sharer) receive(m datagram.Message) {
+// receive decodes a message and queues it for Run.
+func (g *Gossiper) receive(m datagram.Message) {
 	e := &quarantinepb.Evidence{}
 	if err := proto.Unmarshal(m.Body, e); err != nil {
-		_ = level.Debug(s.Logger).Log("msg", "evidence dropped", "from", m.Box, "err", err)
+		_ = level.Debug(g.Logger).Log("msg", "evidence dropped", "from", m.Box, "err", err)
 		return
 	}
 	select {
-	case s.inbox <- received{from: m.From, at: m.Received, evidence: e}:
+	case g.inbox <- received{from: m.From, at: m.Received, evidence: e}:
 	default:
-		_ = level.Debug(s.Logger).Log("msg", "evidence dropped", "from", m.Box, "err", "too many messages wait")
+		_ = level.Debug(g.Logger).Log("msg", "evidence dropped", "from", m.Box, "err", "inbox full")
 	}
 }
 
-// noteChange lets an item be told.
-func (s *Sharer) noteChange(f Fingerprint, own bool) {
-	r := &rumour{own: own, sends: sendsPassed, pause: sendPause}
-	if own {
-		r.sends = sendsOwn
+// enqueue schedules an item for sending.
+func (g *Gossiper) enqueue(f Fingerprint, local bool) {
+	p := &pendingItem{local: local, sends: relayedSends, delay: resendDelay}
+	if local {
+		p.sends = localSends
 	}
-	s.mu.Lock()
-	if before, ok := s.rumours[f]; ok {
-		r.own = r.own || before.own
-		r.sends = max(r.sends, before.sends)
+	g.mu.Lock()
+	if previous, ok := g.pending[f]; ok {
+		p.local = p.local || previous.local
+		p.sends = max(p.sends, previous.sends)
 	}
-	s.rumours[f] = r
-	s.mu.Unlock()
+	g.pending[f] = p
+	g.mu.Unlock()
 	select {
-	case s.kick <- struct{}{}:
+	case g.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Informed tells whether this box knows what the store's record tells, by itself or by others.
-func (s *Sharer) Informed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.informed
+// Synced reports whether this box has the contents of the stored record, from the store or from a peer.
+func (g *Gossiper) Synced() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.synced
 }
 
-// SetInformed says that this box knows what the store's record tells.
-func (s *Sharer) SetInformed() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.informed = true
+// MarkSynced records that this box has the contents of the stored record.
+func (g *Gossiper) MarkSynced() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.synced = true
 }
 
-// Run shares until ctx ends.
-func (s *Sharer) Run(ctx context.Context) {
-	refresh := time.NewTicker(refreshPause)
-	defer refresh.Stop()
-	ask := time.NewTicker(askPause)
-	defer ask.Stop()
-	again := time.NewTimer(0)
-	defer again.Stop()
+// Run exchanges evidence until ctx is done.
+func (g *Gossiper) Run(ctx context.Context) {
+	refreshTicker := time.NewTicker(refreshInterval)
+	defer refreshTicker.Stop()
+	syncTicker := time.NewTicker(syncRequestInterval)
+	defer syncTicker.Stop()
+	sendTimer := time.NewTimer(0)
+	defer sendTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case in := <-s.inbox:
-			s.take(in)
-		case <-s.kick:
-			again.Reset(gatherPause)
-		case <-again.C:
-			if wait, more := s.tell(clock.Now()); more {
-				again.Reset(wait)
+		case m := <-g.inbox:
+			g.handle(m)
+		case <-g.wake:
+			sendTimer.Reset(batchDelay)
+		case <-sendTimer.C:
+			if wait, more := g.sendDue(clock.Now()); more {
+				sendTimer.Reset(wait)
 			}
-		case <-ask.C:
-			if s.Informed() {
-				ask.Stop()
+		case <-syncTicker.C:
+			if g.Synced() {
+				syncTicker.Stop()
 				continue
 			}
-			s.send(&quarantinepb.Evidence{Want: true}, draw(s.Peers(), askPeers))
-		case <-refresh.C:
+			g.send(&quarantinepb.Evidence{Want: true}, sample(g.Peers(), syncRequestPeers))
+		case <-refreshTicker.C:
 			now := clock.Now()
-			s.Ledger.Forget(now)
-			s.sendItems(s.Ledger.Items(refreshLeast, refreshMost), draw(s.Peers(), refreshPeers), now)
+			g.Ledger.Expire(now)
+			g.sendItems(g.Ledger.Items(refreshMinCrashes, maxRefreshItems), sample(g.Peers(), refreshPeers), now)
 		}
 	}
 }
 
-// take takes a message in.
-func (s *Sharer) take(in received) {
-	for _, p := range in.evidence.GetItems() {
-		i, err := decodeItem(p, in.at)
+// handle processes a received message.
+func (g *Gossiper) handle(m received) {
+	for _, p := range m.evidence.GetItems() {
+		i, err := decodeItem(p, m.at)
 		if err != nil {
-			_ = level.Debug(s.Logger).Log("msg", "evidence dropped", "from", in.from, "err", err)
+			_ = level.Debug(g.Logger).Log("msg", "evidence dropped", "from", m.from, "err", err)
 			continue
 		}
-		s.Ledger.Take(i, in.at)
+		g.Ledger.Merge(i, m.at)
 	}
-	if in.evidence.GetInformed() {
-		s.SetInformed()
+	if m.evidence.GetInformed() {
+		g.MarkSynced()
 	}
-	if in.evidence.GetWant() {
-		s.answer(in.from)
+	if m.evidence.GetWant() {
+		g.reply(m.from)
 	}
 }
 
-// answer tells a box that has just started what this one knows, the most suspect first. The last
-// message says whether that is all there is to know.
-func (s *Sharer) answer(to *net.UDPAddr) {
-	messages := encode(s.Ledger.Items(1, answerMost), clock.Now())
+// reply sends the items of this box to a starting one, those with most crashes first. The last message
+// says whether this box is synced.
+func (g *Gossiper) reply(to *net.UDPAddr) {
+	messages := encodeItems(g.Ledger.Items(1, maxReplyItems), clock.Now())
 	if len(messages) == 0 {
 		messages = []*quarantinepb.Evidence{{}}
 	}
-	messages[len(messages)-1].Informed = s.Informed()
+	messages[len(messages)-1].Informed = g.Synced()
 	for _, m := range messages {
-		s.send(m, []*net.UDPAddr{to})
+		g.send(m, []*net.UDPAddr{to})
 	}
 }
 
-// tell sends the rumours that are due. It returns when the next one is.
-func (s *Sharer) tell(now time.Time) (wait time.Duration, more bool) {
-	own, passed := s.due(now)
-	peers := s.Peers()
+// sendDue sends the items that are due. It returns the time until the next one; false if none is left.
+func (g *Gossiper) sendDue(now time.Time) (wait time.Duration, more bool) {
+	local, relayed := g.takeDue(now)
+	peers := g.Peers()
 	direct := peers
-	if len(peers) > directMost {
-		direct = draw(peers, fanout)
+	if len(peers) > maxDirectPeers {
+		direct = sample(peers, fanout)
 	}
-	s.sendItems(s.items(own), direct, now)
-	s.sendItems(s.items(passed), draw(peers, fanout), now)
-	return s.nextDue(now)
+	g.sendItems(g.items(local), direct, now)
+	g.sendItems(g.items(relayed), sample(peers, fanout), now)
+	return g.untilNextSend(now)
 }
 
-// due takes the rumours whose time has come: what this box has found out, and what it passes on.
-func (s *Sharer) due(now time.Time) (own, passed []Fingerprint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for f, r := range s.rumours {
-		if now.Before(r.next) {
+// takeDue returns the items that are due, with local changes apart from relayed ones, and schedules
+// their next sends.
+func (g *Gossiper) takeDue(now time.Time) (local, relayed []Fingerprint) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for f, p := range g.pending {
+		if now.Before(p.next) {
 			continue
 		}
-		if r.own {
-			own = append(own, f)
+		if p.local {
+			local = append(local, f)
 		} else {
-			passed = append(passed, f)
+			relayed = append(relayed, f)
 		}
-		if r.sends--; r.sends <= 0 {
-			delete(s.rumours, f)
+		if p.sends--; p.sends <= 0 {
+			delete(g.pending, f)
 			continue
 		}
-		r.next = now.Add(r.pause)
-		r.pause *= sendGrowth
+		p.next = now.Add(p.delay)
+		p.delay *= resendBackoffFactor
 	}
-	return own, passed
+	return local, relayed
 }
 
-func (s *Sharer) nextDue(now time.Time) (time.Duration, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// untilNextSend returns the time until the next item is due; false if there is none.
+func (g *Gossiper) untilNextSend(now time.Time) (time.Duration, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	wait, more := time.Duration(0), false
-	for _, r := range s.rumours {
-		if left := r.next.Sub(now); !more || left < wait {
+	for _, p := range g.pending {
+		if left := p.next.Sub(now); !more || left < wait {
 			wait, more = max(left, 0), true
 		}
 	}
 	return wait, more
 }
 
-func (s *Sharer) items(list []Fingerprint) []Item {
+func (g *Gossiper) items(list []Fingerprint) []Item {
 	items := make([]Item, 0, len(list))
 	for _, f := range list {
-		if i, ok := s.Ledger.Item(f); ok {
+		if i, ok := g.Ledger.Item(f); ok {
 			items = append(items, i)
 		}
 	}
 	return items
 }
 
-func (s *Sharer) sendItems(items []Item, to []*net.UDPAddr, now time.Time) {
-	for _, m := range encode(items, now) {
-		s.send(m, to)
+func (g *Gossiper) sendItems(items []Item, to []*net.UDPAddr, now time.Time) {
+	for _, m := range encodeItems(items, now) {
+		g.send(m, to)
 	}
 }
 
-func (s *Sharer) send(e *quarantinepb.Evidence, to []*net.UDPAddr) {
+func (g *Gossiper) send(e *quarantinepb.Evidence, to []*net.UDPAddr) {
 	body, err := proto.Marshal(e)
-	if err != nil || !s.Port.Send(kind, body, to...) {
-		_ = level.Warn(s.Logger).Log("msg", "evidence not sent", "items", len(e.GetItems()), "bytes", len(body), "err", err)
+	if err != nil || !g.Port.Send(datagramKind, body, to...) {
+		_ = level.Warn(g.Logger).Log("msg", "sending evidence failed", "items", len(e.GetItems()), "bytes", len(body), "err", err)
 	}
 }
 
-// draw returns some of the boxes, by chance.
-func draw(peers []*net.UDPAddr, most int) []*net.UDPAddr {
-	if len(peers) <= most {
+// sample returns up to n random peers.
+func sample(peers []*net.UDPAddr, n int) []*net.UDPAddr {
+	if len(peers) <= n {
 		return peers
 	}
-	list := make([]*net.UDPAddr, 0, most)
-	for _, i := range rand.Perm(len(peers))[:most] {
+	list := make([]*net.UDPAddr, 0, n)
+	for _, i := range rand.Perm(len(peers))[:n] {
 		list = append(list, peers[i])
 	}
 	return list
--- a/pkg/quarantine/gossiper_test.go
+++ b/pkg/quarantine/gossiper_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// memoryStore is a store in memory.
+// memoryStore is an in-memory Store that counts calls.
 type memoryStore struct {
 	mu     sync.Mutex
 	stored Stored
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// calls is how many reads and writes there were.
+// calls returns the number of reads and writes.
 func (m *memoryStore) calls() (reads, writes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,31 +66,31 @@
 	return len(m.stored.Record.Held)
 }
 
-// boxes are quarantines that hear each other over datagrams.
-type boxes struct {
+// testFleet is a set of quarantines that exchange datagrams over the loopback interface.
+type testFleet struct {
 	t     *testing.T
 	store *memoryStore
-	list  []*Quarantine
+	boxes []*Quarantine
 	stop  []func()
-	// lost drops a part of the datagrams, as one in lost; zero drops none.
-	lost int
+	// dropEvery is the period of dropped datagrams; zero for no loss.
+	dropEvery int
 
 	mu    sync.Mutex
 	peers []*net.UDPAddr
 }
 
-// lossyConn drops one in some of the datagrams that are sent.
+// lossyConn drops every dropEvery-th datagram that is sent; none if dropEvery is zero.
 type lossyConn struct {
 	net.PacketConn
-	mu   sync.Mutex
-	lost int
-	sent int
+	mu        sync.Mutex
+	dropEvery int
+	sent      int
 }
 
 func (c *lossyConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	c.mu.Lock()
 	c.sent++
-	drop := c.lost > 0 && c.sent%c.lost == 0
+	drop := c.dropEvery > 0 && c.sent%c.dropEvery == 0
 	c.mu.Unlock()
 	if drop {
 		return len(b), nil
@@ -98,25 +98,25 @@
 	return c.PacketConn.WriteTo(b, to)
 }
 
-func startBoxes(t *testing.T, n, lost int) *boxes {
-	b := &boxes{t: t, store: &memoryStore{}, lost: lost}
+func startFleet(t *testing.T, n, dropEvery int) *testFleet {
+	b := &testFleet{t: t, store: &memoryStore{}, dropEvery: dropEvery}
 	for range n {
 		b.start()
 	}
 	t.Cleanup(func() {
-		for i := range b.list {
+		for i := range b.boxes {
 			b.kill(i)
 		}
 	})
 	return b
 }
 
-func (b *boxes) start() *Quarantine {
+func (b *testFleet) start() *Quarantine {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(b.t, err)
 	self := conn.LocalAddr().(*net.UDPAddr)
 	port := datagram.NewPort(datagram.Deps{
-		Box: fmt.Sprint("box-", len(b.list)), Conn: &lossyConn{PacketConn: conn, lost: b.lost}, Logger: log.NewNopLogger(),
+		Box: fmt.Sprint("box-", len(b.boxes)), Conn: &lossyConn{PacketConn: conn, dropEvery: b.dropEvery}, Logger: log.NewNopLogger(),
 		Known: func(netip.AddrPort) bool { return true },
 	})
 	q := New(Deps{Port: port, Peers: func() []*net.UDPAddr { return b.others(self) }, Store: b.store, Timeout: time.Second, Logger: log.NewNopLogger()})
@@ -127,7 +127,7 @@
 	var wg conc.WaitGroup
 	wg.Go(port.Listen)
 	wg.Go(func() { q.Run(ctx) })
-	b.list = append(b.list, q)
+	b.boxes = append(b.boxes, q)
 	b.stop = append(b.stop, sync.OnceFunc(func() {
 		cancel()
 		conn.Close()
@@ -136,7 +136,7 @@
 	return q
 }
 
-func (b *boxes) others(self *net.UDPAddr) []*net.UDPAddr {
+func (b *testFleet) others(self *net.UDPAddr) []*net.UDPAddr {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*net.UDPAddr
@@ -148,16 +148,16 @@
 	return list
 }
 
-func (b *boxes) kill(i int) { b.stop[i]() }
+func (b *testFleet) kill(i int) { b.stop[i]() }
 
-// end lets a box see a server end under a request.
-func (b *boxes) end(box int, f Fingerprint, server int) {
+// crash records on a box that a server crashed while it had a request.
+func (b *testFleet) crash(box int, f Fingerprint, server int) {
 	now := time.Now()
-	b.list[box].RecordCrash(f, life(server), now)
+	b.boxes[box].RecordCrash(f, incarnation(server), now)
 }
 
-func (b *boxes) allHold(f Fingerprint) bool {
-	for _, q := range b.list {
+func (b *testFleet) allHold(f Fingerprint) bool {
+	for _, q := range b.boxes {
 		if !q.Verdict(f).Held {
 			return false
 		}
@@ -165,20 +165,20 @@
 	return true
 }
 
-// Three boxes each see one server end under the same request; all boxes hold it soon, also where
-// a part of the datagrams is lost, and where there are more than are told directly.
+// After three boxes each saw one server crash under a request, all boxes must hold it, also with packet loss
+// and in a fleet with more than maxDirectPeers boxes.
 func TestAllBoxesHoldWhatThreeOfThemSaw(t *testing.T) {
-	for _, c := range []struct{ boxes, lost int }{{4, 0}, {7, 3}, {60, 0}, {60, 10}} {
-		t.Run(fmt.Sprintf("%d boxes, one in %d lost", c.boxes, c.lost), func(t *testing.T) {
-			b := startBoxes(t, c.boxes, c.lost)
-			f := request("deadly")
+	for _, c := range []struct{ boxes, dropEvery int }{{4, 0}, {7, 3}, {60, 0}, {60, 10}} {
+		t.Run(fmt.Sprintf("%d boxes, one in %d lost", c.boxes, c.dropEvery), func(t *testing.T) {
+			b := startFleet(t, c.boxes, c.dropEvery)
+			f := fingerprint("crashing")
 			for n := range 3 {
 				time.Sleep(2 * IncidentWindow)
-				b.end(n, f, n)
+				b.crash(n, f, n)
 			}
-			third := time.Now()
+			thirdCrash := time.Now()
 			require.Eventually(t, func() bool { return b.allHold(f) }, 10*time.Second, 2*time.Millisecond)
-			t.Logf("held everywhere %s after the third end", time.Since(third))
+			t.Logf("held by all boxes %s after the third crash", time.Since(thirdCrash))
 			require.Eventually(t, func() bool { return b.store.held() == 1 }, 10*time.Second, 5*time.Millisecond)
 			_, writes := b.store.calls()
 			assert.LessOrEqual(t, writes, 3)
@@ -187,47 +187,47 @@
 }
 
 func TestBoxesThatStartLearnWhatIsHeld(t *testing.T) {
-	b := startBoxes(t, 3, 0)
-	f := request("deadly")
+	b := startFleet(t, 3, 0)
+	f := fingerprint("crashing")
 	for n := range 3 {
-		b.end(0, f, n)
+		b.crash(0, f, n)
 		time.Sleep(2 * IncidentWindow)
 	}
 	require.Eventually(t, func() bool { return b.store.held() == 1 }, 10*time.Second, 5*time.Millisecond)
-	late := b.start()
-	require.Eventually(t, func() bool { return late.Verdict(f).Held }, 10*time.Second, 5*time.Millisecond)
-	for i := range b.list {
+	newBox := b.start()
+	require.Eventually(t, func() bool { return newBox.Verdict(f).Held }, 10*time.Second, 5*time.Millisecond)
+	for i := range b.boxes {
 		b.kill(i)
 	}
-	b.list, b.stop, b.peers = nil, nil, nil
+	b.boxes, b.stop, b.peers = nil, nil, nil
 	before, _ := b.store.calls()
 	for range 3 {
 		b.start()
 	}
-	require.Eventually(t, func() bool { return b.allHold(f) }, 10*time.Second, 5*time.Millisecond, "the store outlives all boxes")
+	require.Eventually(t, func() bool { return b.allHold(f) }, 10*time.Second, 5*time.Millisecond, "held requests must be loaded from the store after all boxes restarted")
 	reads, _ := b.store.calls()
 	assert.LessOrEqual(t, reads-before, 3)
 }
 
-func TestReleasedRequestsRunAgainEverywhere(t *testing.T) {
-	b := startBoxes(t, 5, 0)
-	f := request("harmless")
+func TestReleaseReachesAllBoxes(t *testing.T) {
+	b := startFleet(t, 5, 0)
+	f := fingerprint("harmless")
 	for n := range 3 {
-		b.end(n, f, n)
+		b.crash(n, f, n)
 		time.Sleep(2 * IncidentWindow)
 	}
 	require.Eventually(t, func() bool { return b.allHold(f) && b.store.held() == 1 }, 10*time.Second, 5*time.Millisecond)
-	listed := b.list[2].Held(clock.Now())
+	listed := b.boxes[2].Held(clock.Now())
 	require.Len(t, listed, 1)
 	assert.Equal(t, f.String(), listed[0].Request)
 	assert.Equal(t, 3, listed[0].Crashes)
-	assert.InDelta(t, trialFirst.Seconds(), listed[0].NextTrialSeconds, 5)
+	assert.InDelta(t, firstTrialDelay.Seconds(), listed[0].NextTrialSeconds, 5)
 	var unknown *UnknownRequestError
-	require.ErrorAs(t, b.list[4].Release("000000000000"), &unknown)
-	require.ErrorAs(t, b.list[4].Release("no name"), &unknown)
-	require.NoError(t, b.list[4].Release(f.String()))
+	require.ErrorAs(t, b.boxes[4].Release("000000000000"), &unknown)
+	require.ErrorAs(t, b.boxes[4].Release("no name"), &unknown)
+	require.NoError(t, b.boxes[4].Release(f.String()))
 	require.Eventually(t, func() bool {
-		for _, q := range b.list {
+		for _, q := range b.boxes {
 			if q.Verdict(f).Held {
 				return false
 			}
@@ -236,22 +236,22 @@
 	}, 10*time.Second, 5*time.Millisecond)
 }
 
-// Of all boxes that may try a held request, one does.
+// Only one of the boxes may run the trial of a held request.
 func TestOneBoxMakesATrial(t *testing.T) {
-	b := startBoxes(t, 4, 0)
-	f := request("deadly")
+	b := startFleet(t, 4, 0)
+	f := fingerprint("crashing")
 	for n := range 3 {
-		b.end(0, f, n)
+		b.crash(0, f, n)
 		time.Sleep(2 * IncidentWindow)
 	}
 	require.Eventually(t, func() bool { return b.allHold(f) && b.store.held() == 1 }, 10*time.Second, 5*time.Millisecond)
 	now := time.Now()
-	assert.False(t, b.list[0].BeginTrial(context.Background(), f, now), "it is too soon")
+	assert.False(t, b.boxes[0].BeginTrial(context.Background(), f, now), "trial must not start before it is due")
 
-	due := b.list[0].Verdict(f).NextTrial.Add(time.Second)
-	granted := make(chan bool, len(b.list))
+	due := b.boxes[0].Verdict(f).NextTrial.Add(time.Second)
+	granted := make(chan bool, len(b.boxes))
 	var wg conc.WaitGroup
-	for _, q := range b.list {
+	for _, q := range b.boxes {
 		wg.Go(func() { granted <- q.BeginTrial(context.Background(), f, due) })
 	}
 	wg.Wait()
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -7,58 +7,55 @@
 	"time"
 )
 
-// IncarnationHash names one life of a backend server, in short.
+// IncarnationHash is the hash of a server incarnation.
 type IncarnationHash uint64
 
 const (
-	// holdAfter is at how many moments servers end under a request before it is held. One end has a
-	// handful of suspects, of which most are harmless; each further one without a sound run
-	// in between leaves a harmless request behind with the part of the servers that ended.
-	holdAfter = 3
-	// IncidentWindow is how close ends count as one moment: servers that end together have a cause in
-	// common, which is not one request. Boxes learn of the ends of one moment some tens of
-	// milliseconds apart.
+	// holdThreshold is the number of incidents after which a request is held. A crash makes suspects of
+	// all requests on the server, most of them harmless; repeated crashes without a successful run in
+	// between are unlikely for those.
+	holdThreshold = 3
+	// IncidentWindow is the time within which crashes count as one incident: servers that crash together
+	// have a common cause other than one request. Boxes detect such crashes tens of milliseconds apart.
 	IncidentWindow = 100 * time.Millisecond
-	// trialFirst is how long after its last end a held request may be tried again;
-	// each failed trial makes it trialFactor times as long. After trialsMost of them only an
-	// operator releases it.
-	trialFirst  = time.Minute
-	trialFactor = 10
-	trialsMost  = 3
-	// suspectKept is how long an end without any after it is remembered. A request that comes
-	// more rarely costs a server an hour at the most.
-	suspectKept = time.Hour
-	// suspectsMost and heldMost bound what is kept, so that an organisation that sends a new
-	// body each time can't use up the memory: about 200 bytes a suspect.
-	suspectsMost = 10_000
-	heldMost     = 1000
-	// endsMost bounds the ends that are kept of one request.
-	endsMost = 16
+	// firstTrialDelay is the time from the last crash until the first trial of a held request. Each failed
+	// trial multiplies it by trialBackoffFactor. After maxTrials only an operator can release the request.
+	firstTrialDelay    = time.Minute
+	trialBackoffFactor = 10
+	maxTrials          = 3
+	// suspectTTL is how long a suspect is kept after its last update.
+	suspectTTL = time.Hour
+	// maxSuspects and maxHeld bound the memory used, as a caller may send a new body each time. A suspect
+	// takes about 200 bytes.
+	maxSuspects = 10_000
+	maxHeld     = 1000
+	// maxCrashes bounds the crashes, and the excused incarnations, kept for one request.
+	maxCrashes = 16
 )
 
-// Item is what is known of one request. Ends and sound runs only ever add to it, so that two
-// boxes that have heard the same, in any order and however often, know the same.
+// Item is the evidence about one request. Crashes and excuses are only added and merging items is
+// commutative and idempotent, so that boxes which received the same evidence agree.
 type Item struct {
 	Fingerprint Fingerprint
-	// Ends are the lives that ended under the request.
-	Ends map[IncarnationHash]time.Time
-	// Excused are the lives whose end another cause had, as the request ended soundly later.
+	// Crashes maps the incarnations that crashed while they had the request to the time of the crash.
+	Crashes map[IncarnationHash]time.Time
+	// Excused holds the incarnations whose crash had another cause, as the request completed later.
 	Excused map[IncarnationHash]bool
-	// Trials is how many trials of the held request were begun.
+	// Trials is the number of trials that were begun.
 	Trials int
-	// Stored says that the store's record tells that the request is held.
+	// Stored is set if the record in the store lists the request as held.
 	Stored bool
 }
 
 func newItem(f Fingerprint) *Item {
-	return &Item{Fingerprint: f, Ends: make(map[IncarnationHash]time.Time), Excused: make(map[IncarnationHash]bool)}
+	return &Item{Fingerprint: f, Crashes: make(map[IncarnationHash]time.Time), Excused: make(map[IncarnationHash]bool)}
 }
 
-// suspicious lists when servers ended for which the request may be the cause, in order.
-func (i *Item) suspicious() []time.Time {
+// unexcusedCrashes returns the times of the crashes that are not excused, in order.
+func (i *Item) unexcusedCrashes() []time.Time {
 	var list []time.Time
-	for life, at := range i.Ends {
-		if !i.Excused[life] {
+	for incarnation, at := range i.Crashes {
+		if !i.Excused[incarnation] {
 			list = append(list, at)
 		}
 	}
@@ -66,10 +63,11 @@
 	return list
 }
 
-// moments leaves of ends in order those out that came together with an earlier one.
-func moments(ends []time.Time) []time.Time {
+// incidents returns the crash times that start an incident: those at least IncidentWindow after the start
+// of the previous incident.
+func incidents(crashes []time.Time) []time.Time {
 	var list []time.Time
-	for _, at := range ends {
+	for _, at := range crashes {
 		if len(list) == 0 || at.Sub(list[len(list)-1]) >= IncidentWindow {
 			list = append(list, at)
 		}
@@ -77,16 +75,16 @@
 	return list
 }
 
-// merge takes in what another box knows. It returns whether that changes what is to be thought of
-// the request, which is to be passed on; that more ends are excused is not.
+// merge adds the evidence of another box. It reports whether the verdict may change, so that the item has
+// to be relayed; excuses for unknown crashes do not count.
 func (i *Item) merge(other *Item) bool {
 	changed := false
-	for life := range other.Excused {
-		changed = i.excuse(life) || changed
+	for incarnation := range other.Excused {
+		changed = i.excuse(incarnation) || changed
 	}
-	for life, at := range other.Ends {
-		if !other.Excused[life] {
-			changed = i.addEnd(life, at) && !i.Excused[life] || changed
+	for incarnation, at := range other.Crashes {
+		if !other.Excused[incarnation] {
+			changed = i.addCrash(incarnation, at) && !i.Excused[incarnation] || changed
 		}
 	}
 	changed = changed || other.Trials > i.Trials || other.Stored && !i.Stored
@@ -95,42 +93,42 @@
 	return changed
 }
 
-// addEnd notes an end. It returns whether it was new.
-func (i *Item) addEnd(life IncarnationHash, at time.Time) bool {
-	if _, known := i.Ends[life]; known {
+// addCrash adds a crash and reports whether it was new.
+func (i *Item) addCrash(incarnation IncarnationHash, at time.Time) bool {
+	if _, known := i.Crashes[incarnation]; known {
 		return false
 	}
-	if len(i.Ends) >= endsMost && !i.dropExcused(life) {
+	if len(i.Crashes) >= maxCrashes && !i.evictExcused(incarnation) {
 		return false
 	}
-	i.Ends[life] = at
+	i.Crashes[incarnation] = at
 	return true
 }
 
-// excuse notes that a life ended for another cause, also where its end is not known yet. It
-// returns whether that end was suspicious.
-func (i *Item) excuse(life IncarnationHash) bool {
-	if i.Excused[life] {
+// excuse marks an incarnation as excused, even if its crash is not known yet. It reports whether the
+// crash was known.
+func (i *Item) excuse(incarnation IncarnationHash) bool {
+	if i.Excused[incarnation] {
 		return false
 	}
-	if len(i.Excused) >= endsMost {
-		i.dropExcused(life)
+	if len(i.Excused) >= maxCrashes {
+		i.evictExcused(incarnation)
 	}
-	i.Excused[life] = true
-	_, known := i.Ends[life]
+	i.Excused[incarnation] = true
+	_, known := i.Crashes[incarnation]
 	return known
 }
 
-// dropExcused makes room by a life that is excused, with its end, but not this one. It returns
-// whether that makes room for an end.
-func (i *Item) dropExcused(keep IncarnationHash) bool {
-	for life := range i.Excused {
-		if life == keep {
+// evictExcused removes excused incarnations other than keep until a crash was removed with one. It reports
+// whether that made room for a crash.
+func (i *Item) evictExcused(keep IncarnationHash) bool {
+	for incarnation := range i.Excused {
+		if incarnation == keep {
 			continue
 		}
-		_, known := i.Ends[life]
-		delete(i.Ends, life)
-		delete(i.Excused, life)
+		_, known := i.Crashes[incarnation]
+		delete(i.Crashes, incarnation)
+		delete(i.Excused, incarnation)
 		if known {
 			return true
 		}
@@ -138,53 +136,53 @@
 	return false
 }
 
-// Verdict says what is to be done with a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	// Held requests are not sent to any server.
 	Held bool
-	// Crashes is how many servers have ended under the request, Incidents at how many moments.
+	// Crashes is the number of servers that crashed while they had the request, Incidents the number of
+	// incidents.
 	Crashes   int
 	Incidents int
-	// Trials is how many trials it has had. Trial is when a held request may be tried again,
-	// zero if only an operator releases it.
+	// Trials is the number of trials so far. NextTrial is when the next one is due; zero if only an operator
+	// can release the request.
 	Trials    int
 	NextTrial time.Time
 }
 
-// verdict judges by what is known.
+// verdict derives the decision from the evidence.
 func (i *Item) verdict() Verdict {
-	ends := i.suspicious()
-	counted := moments(ends)
-	v := Verdict{Held: len(counted) >= holdAfter, Crashes: len(ends), Incidents: len(counted)}
+	crashes := i.unexcusedCrashes()
+	counted := incidents(crashes)
+	v := Verdict{Held: len(counted) >= holdThreshold, Crashes: len(crashes), Incidents: len(counted)}
 	if !v.Held {
 		return v
 	}
-	v.Trials = max(i.Trials, len(counted)-holdAfter)
-	if v.Trials >= trialsMost {
+	v.Trials = max(i.Trials, len(counted)-holdThreshold)
+	if v.Trials >= maxTrials {
 		return v
 	}
-	wait := trialFirst
+	wait := firstTrialDelay
 	for range v.Trials {
-		wait *= trialFactor
+		wait *= trialBackoffFactor
 	}
-	v.NextTrial = ends[len(ends)-1].Add(wait)
+	v.NextTrial = crashes[len(crashes)-1].Add(wait)
 	return v
 }
 
-// entry is an item as a ledger keeps it.
+// entry is an item with its bookkeeping in a ledger.
 type entry struct {
 	*Item
-	touched time.Time
-	held    bool
+	updatedAt time.Time
+	held      bool
 }
 
-// Ledger is what a box knows of requests under which servers ended. It decides which of them are
-// held, and knows no network.
+// Ledger stores the evidence of a box about requests and decides which of them are held. It does no I/O.
 type Ledger struct {
-	// onChange is told of each item that has changed, onHeld of each that is held from now on;
-	// own says that this box has found it out. Neither may call the ledger.
-	onChange func(f Fingerprint, own bool)
-	onHeld   func(f Fingerprint, own bool)
+	// onChange is called for each item that changed, onHeld for each request that becomes held; local is
+	// set if the change originates from this box. They must not call the ledger.
+	onChange func(f Fingerprint, local bool)
+	onHeld   func(f Fingerprint, local bool)
 
 	count atomic.Int64
 
@@ -193,7 +191,7 @@
 	outlines map[Outline]int
 }
 
-// NewLedger returns a ledger that knows of nothing.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
 		entries: make(map[Fingerprint]*entry), outlines: make(map[Outline]int),
@@ -201,18 +199,18 @@
 	}
 }
 
-// Empty tells whether nothing is suspected at all, in which case no request has to be named.
+// Empty reports whether there are no suspects.
 func (l *Ledger) Empty() bool { return l.count.Load() == 0 }
 
-// MaySuspect tells whether a request with an outline may be known: only then its fingerprint is
-// worth the hash of its body.
+// MaySuspect reports whether a request with the outline may be a suspect. If not, its fingerprint is not
+// needed.
 func (l *Ledger) MaySuspect(o Outline) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.outlines[o] > 0
 }
 
-// Verdict says what is to be done with a request.
+// Verdict returns the verdict on a request.
 func (l *Ledger) Verdict(f Fingerprint) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,18 +221,17 @@
 	return e.verdict()
 }
 
-// RecordCrash notes that a life of a server ended under a request of this box.
-func (l *Ledger) RecordCrash(f Fingerprint, life IncarnationHash, at time.Time) {
+// RecordCrash records that a server crashed while it had a request of this box.
+func (l *Ledger) RecordCrash(f Fingerprint, incarnation IncarnationHash, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entry(f, at)
-	if e.addEnd(life, at) {
-		l.changed(e, true)
+	e := l.getOrCreate(f, at)
+	if e.addCrash(incarnation, at) {
+		l.reevaluate(e, true)
 	}
 }
 
-// RecordSuccess notes that a request was run to its end: whatever ended servers before was
-// something else.
+// RecordSuccess records that a request completed, which excuses it from all earlier crashes.
 func (l *Ledger) RecordSuccess(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,53 +240,52 @@
 		return
 	}
 	changed := false
-	for life := range e.Ends {
-		changed = e.excuse(life) || changed
+	for incarnation := range e.Crashes {
+		changed = e.excuse(incarnation) || changed
 	}
 	if changed {
-		l.changed(e, true)
+		l.reevaluate(e, true)
 	}
 }
 
-// Take takes in what another box knows of a request.
-func (l *Ledger) Take(i *Item, now time.Time) {
+// Merge merges the evidence of another box about a request.
+func (l *Ledger) Merge(i *Item, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entry(i.Fingerprint, now)
+	e := l.getOrCreate(i.Fingerprint, now)
 	if e.merge(i) {
-		l.changed(e, false)
+		l.reevaluate(e, false)
 	}
 }
 
-// Items lists what is known, the requests under which most servers ended first, most at the most.
-// With atLeast, those with fewer ends are left out.
-func (l *Ledger) Items(atLeast, most int) []Item {
+// Items returns at most limit items with at least minCrashes unexcused crashes, most crashes first.
+func (l *Ledger) Items(minCrashes, limit int) []Item {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	type counted struct {
-		entry *entry
-		ends  int
+		entry   *entry
+		crashes int
 	}
 	var list []counted
 	for _, e := range l.entries {
-		if ends := len(e.suspicious()); ends >= atLeast {
-			list = append(list, counted{entry: e, ends: ends})
+		if crashes := len(e.unexcusedCrashes()); crashes >= minCrashes {
+			list = append(list, counted{entry: e, crashes: crashes})
 		}
 	}
 	slices.SortFunc(list, func(a, b counted) int {
-		if a.ends != b.ends {
-			return b.ends - a.ends
+		if a.crashes != b.crashes {
+			return b.crashes - a.crashes
 		}
-		return b.entry.touched.Compare(a.entry.touched)
+		return b.entry.updatedAt.Compare(a.entry.updatedAt)
 	})
-	items := make([]Item, 0, min(most, len(list)))
-	for _, c := range list[:min(most, len(list))] {
+	items := make([]Item, 0, min(limit, len(list)))
+	for _, c := range list[:min(limit, len(list))] {
 		items = append(items, c.entry.clone())
 	}
 	return items
 }
 
-// Item returns what is known of a request.
+// Item returns the evidence about a request.
 func (l *Ledger) Item(f Fingerprint) (Item, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -306,8 +302,8 @@
 	return *i
 }
 
-// noteRecord notes what the store's record tells of a request from now on.
-func (l *Ledger) noteRecord(f Fingerprint, stored bool, trials int) {
+// setStored records the state of a request in the store.
+func (l *Ledger) setStored(f Fingerprint, stored bool, trials int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.entries[f]
@@ -315,10 +311,10 @@
 		return
 	}
 	e.Stored, e.Trials = stored, max(e.Trials, trials)
-	l.changed(e, true)
+	l.reevaluate(e, true)
 }
 
-// Counts is how many requests are suspected and how many are held.
+// Counts returns the number of suspected and of held requests.
 func (l *Ledger) Counts() (suspects, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -330,46 +326,47 @@
 	return len(l.entries) - held, held
 }
 
-// Forget drops what has been of no use for long.
-func (l *Ledger) Forget(now time.Time) {
+// Expire drops suspects that have not been updated for suspectTTL.
+func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
-		if !e.held && now.Sub(e.touched) > suspectKept {
+		if !e.held && now.Sub(e.updatedAt) > suspectTTL {
 			l.remove(e)
 		}
 	}
 }
 
-// entry returns the entry of a request, a new one if there is none.
-func (l *Ledger) entry(f Fingerprint, now time.Time) *entry {
+// getOrCreate returns the entry of a request. The caller holds mu.
+func (l *Ledger) getOrCreate(f Fingerprint, now time.Time) *entry {
 	e, ok := l.entries[f]
 	if !ok {
-		l.makeRoom(false, suspectsMost)
+		l.evictOldest(false, maxSuspects)
 		e = &entry{Item: newItem(f)}
 		l.entries[f] = e
 		l.outlines[f.Outline]++
 		l.count.Add(1)
 	}
-	e.touched = now
+	e.updatedAt = now
 	return e
 }
 
-// changed judges an entry anew.
-func (l *Ledger) changed(e *entry, own bool) {
+// reevaluate updates the held state of an entry after a change and notifies the listeners. The caller
+// holds mu.
+func (l *Ledger) reevaluate(e *entry, local bool) {
 	held := e.verdict().Held
 	if held && !e.held {
-		l.makeRoom(true, heldMost)
-		l.onHeld(e.Fingerprint, own)
+		l.evictOldest(true, maxHeld)
+		l.onHeld(e.Fingerprint, local)
 	}
 	e.held = held
-	l.onChange(e.Fingerprint, own)
+	l.onChange(e.Fingerprint, local)
 }
 
-// makeRoom drops the oldest of the suspects, or of the requests that are held, where there are as
-// many as there may be.
-func (l *Ledger) makeRoom(held bool, most int) {
-	if len(l.entries) < most {
+// evictOldest drops the oldest suspect, or the oldest held request, if there are limit of them. The
+// caller holds mu.
+func (l *Ledger) evictOldest(held bool, limit int) {
+	if len(l.entries) < limit {
 		return
 	}
 	var oldest *entry
@@ -379,11 +376,11 @@
 			continue
 		}
 		n++
-		if oldest == nil || e.touched.Before(oldest.touched) {
+		if oldest == nil || e.updatedAt.Before(oldest.updatedAt) {
 			oldest = e
 		}
 	}
-	if n >= most {
+	if n >= limit {
 		l.remove(oldest)
 	}
 }
--- a/pkg/quarantine/operators.go
+++ b/pkg/quarantine/operators.go
@@ -10,28 +10,29 @@
 	"github.com/go-kit/log/level"
 )
 
-// Held is what operators see of a request that is held.
+// Held describes a held request to operators.
 type Held struct {
 	// Request is the name of the request in logs and answers.
 	Request string `json:"request"`
-	// Crashes is how many servers ended under it, LastCrashSeconds how long ago the last one did.
+	// Crashes is the number of servers that crashed while they had the request, LastCrashSeconds the time
+	// since the last crash.
 	Crashes          int     `json:"ends"`
 	LastCrashSeconds float64 `json:"last_end_s"`
-	// Trials is how many trials it has had, NextTrialSeconds when the next one is due; zero if
-	// only an operator releases it.
+	// Trials is the number of trials so far, NextTrialSeconds the time until the next one; zero if only an
+	// operator can release the request.
 	Trials           int     `json:"trials"`
 	NextTrialSeconds float64 `json:"next_trial_s"`
 }
 
-// UnknownRequestError says that no request of a name is held.
+// UnknownRequestError reports that no held request has the given name.
 type UnknownRequestError struct{ Request string }
 
 func (e *UnknownRequestError) Error() string {
 	return fmt.Sprintf("no request %q is held: list those that are", e.Request)
 }
 
-// held lists the items of the requests that are held.
-func (l *Ledger) held() []Item {
+// heldItems returns the items of held requests.
+func (l *Ledger) heldItems() []Item {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Item
@@ -43,12 +44,12 @@
 	return list
 }
 
-// Held lists the requests that are held, by name.
+// Held lists the held requests, sorted by name.
 func (q *Quarantine) Held(now time.Time) []Held {
 	list := []Held{}
-	for _, i := range q.ledger.held() {
-		v, ends := i.verdict(), i.suspicious()
-		h := Held{Request: i.Fingerprint.String(), Crashes: v.Crashes, Trials: v.Trials, LastCrashSeconds: now.Sub(ends[len(ends)-1]).Seconds()}
+	for _, i := range q.ledger.heldItems() {
+		v, crashes := i.verdict(), i.unexcusedCrashes()
+		h := Held{Request: i.Fingerprint.String(), Crashes: v.Crashes, Trials: v.Trials, LastCrashSeconds: now.Sub(crashes[len(crashes)-1]).Seconds()}
 		if !v.NextTrial.IsZero() {
 			h.NextTrialSeconds = max(0, v.NextTrial.Sub(now).Seconds())
 		}
@@ -58,16 +59,16 @@
 	return list
 }
 
-// Release takes a held request for harmless, on all boxes, as an operator asks.
+// Release releases a held request on all boxes at the request of an operator.
 func (q *Quarantine) Release(request string) error {
 	name, err := hex.DecodeString(request)
-	if err != nil || len(name) != stringLength {
+	if err != nil || len(name) != nameBytes {
 		return &UnknownRequestError{Request: request}
 	}
-	for _, i := range q.ledger.held() {
-		if slices.Equal(i.Fingerprint.Digest[:stringLength], name) {
-			_ = level.Warn(q.logger).Log("msg", "operator releases a request", "request", request)
-			q.keeper.RecordSuccess(i.Fingerprint)
+	for _, i := range q.ledger.heldItems() {
+		if slices.Equal(i.Fingerprint.Digest[:nameBytes], name) {
+			_ = level.Warn(q.logger).Log("msg", "held request released by operator", "request", request)
+			q.persister.RecordSuccess(i.Fingerprint)
 			return nil
 		}
 	}
--- a/pkg/quarantine/persister.go
+++ b/pkg/quarantine/persister.go
@@ -16,7 +16,7 @@
 	"headhill.example/headhill/pkg/pause"
 )
 
-// HeldRequest is what the store's record tells of one request that is held.
+// HeldRequest is the entry of a held request in the stored record.
 type HeldRequest struct {
 	Outline uint64   `json:"outline"`
 	Digest  []byte   `json:"digest"`
@@ -26,10 +26,10 @@
 
 func (h *HeldRequest) fingerprint() (Fingerprint, bool) {
 	f := Fingerprint{Outline: Outline(h.Outline)}
-	return f, copy(f.Digest[:], h.Digest) == digestLength && len(h.Digest) == digestLength
+	return f, copy(f.Digest[:], h.Digest) == digestBytes && len(h.Digest) == digestBytes
 }
 
-// Record is what outlives all boxes: the requests that are held.
+// Record is the persistent state of the quarantine, which survives a restart of all boxes.
 type Record struct {
 	Held []HeldRequest `json:"held"`
 }
@@ -41,228 +41,226 @@
 	})
 }
 
-// Stored is the record as the store has it; revision zero for none.
+// Stored is the record with its revision in the store; revision zero if there is no record.
 type Stored struct {
 	Record   Record
 	Revision uint64
 }
 
-// Store keeps the record.
+// Store reads and writes the record.
 type Store interface {
 	Read(ctx context.Context) (Stored, error)
-	// Write replaces the record of a revision; zero makes the first one. The error is a
-	// *ConflictError if the store has another one by now.
+	// Write replaces the record at the given revision; zero creates it. The error is a *ConflictError if
+	// the store has another revision.
 	Write(ctx context.Context, r Record, revision uint64) error
 }
 
-// ConflictError says that the record has changed since it was read.
+// ConflictError reports that the record changed since it was read.
 type ConflictError struct{ Revision uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("the record of held requests is not at revision %d any more: read it again", e.Revision)
+	return fmt.Sprintf("record of held requests changed since revision %d: read it again", e.Revision)
 }
 
 const (
-	// readSpread bounds the time, drawn by each box, for which one that has just started waits
-	// for others to tell what the record holds, and readLeast is the least: where all start at once,
-	// a few read it.
-	readLeast  = readSpread / 2
-	readSpread = time.Second
-	// meetMost is how long it waits for others to be known at all.
-	meetMost = time.Second
-	// readCheck is how often such a box looks whether others have told it.
-	readCheck = 50 * time.Millisecond
-	// writeOwn is when the box that has found a hold out writes it. Others do so from writeOther
-	// on, spread over writeSpread, unless they have heard by then that it has been: of 60 boxes
-	// one to three write, where it was four to six with a spread that began at once.
-	writeOwn    = 50 * time.Millisecond
-	writeOther  = 300 * time.Millisecond
-	writeSpread = 5 * time.Second
-	// retryPause is the time between two tries to reach the store, before jitter.
-	retryPause = 700 * time.Millisecond
-	// conflictsMost is how often a record that others write meanwhile is read again.
-	conflictsMost = 5
-	// trialPause is the least time between two questions of a box whether it may make a trial.
-	trialPause = time.Second
+	// A starting box waits minReadDelay plus a random delay of up to readDelaySpread for peers to send it
+	// the contents of the record before it reads the store, so that few boxes read when all start at once.
+	minReadDelay    = readDelaySpread / 2
+	readDelaySpread = time.Second
+	// maxPeerWait is how long a starting box waits until it knows any peers.
+	maxPeerWait = time.Second
+	// syncPollInterval is the poll interval of waitFor.
+	syncPollInterval = 50 * time.Millisecond
+	// The box that detects that a request is to be held writes it to the store after localWriteDelay. The
+	// others do so after remoteWriteDelay plus a random part of remoteWriteSpread, unless they have learned
+	// that it is stored.
+	localWriteDelay   = 50 * time.Millisecond
+	remoteWriteDelay  = 300 * time.Millisecond
+	remoteWriteSpread = 5 * time.Second
+	// retryDelay is the delay before the next attempt to reach the store, to which jitter is added.
+	retryDelay = 700 * time.Millisecond
+	// maxConflicts is the number of attempts to update a record that other boxes change concurrently.
+	maxConflicts = 5
+	// trialRequestInterval is the minimum interval between requests of this box to the store for a trial.
+	trialRequestInterval = time.Second
 )
 
-// KeeperDeps are what a Keeper is built on.
-type KeeperDeps struct {
-	Store  Store
-	Ledger *Ledger
-	Sharer *Sharer
-	Logger log.Logger
-	// OnHeld is told of each request that is held from now on. It must not block, and not call
-	// the ledger.
+// PersisterDeps are the dependencies of a Persister.
+type PersisterDeps struct {
+	Store    Store
+	Ledger   *Ledger
+	Gossiper *Gossiper
+	Logger   log.Logger
+	// OnHeld is called for each request that becomes held. It must not block or call the ledger.
 	OnHeld func(Fingerprint)
-	// Timeout bounds a call to the store.
+	// Timeout limits each call to the store.
 	Timeout time.Duration
 }
 
-// Keeper lets the store keep what is held, for boxes that start when no other runs.
-type Keeper struct {
-	KeeperDeps
-	// planned is told that a write was planned.
-	planned chan struct{}
+// Persister saves the held requests to the store, so that they survive a restart of all boxes.
+type Persister struct {
+	PersisterDeps
+	// wake signals that a write was scheduled.
+	wake chan struct{}
 
 	mu sync.Mutex
-	// due are the requests whose state has to be written.
-	due map[Fingerprint]dueWrite
-	// askedForTrial is when the store was last asked for a trial.
-	askedForTrial time.Time
+	// pendingWrites holds the requests whose state has to be written.
+	pendingWrites map[Fingerprint]pendingWrite
+	// lastTrialRequest is when the store was last asked for a trial.
+	lastTrialRequest time.Time
 }
 
-// dueWrite is when a request's state has to be written. A write that others may make too is
-// left out once one has.
-type dueWrite struct {
-	at  time.Time
-	own bool
+// pendingWrite is a scheduled write of the state of a request. Unless it is local, it is skipped if another
+// box has written the state.
+type pendingWrite struct {
+	at    time.Time
+	local bool
 }
 
-// NewKeeper returns a keeper that is told by the ledger from now on.
-func NewKeeper(d KeeperDeps) *Keeper {
-	k := &Keeper{KeeperDeps: d, planned: make(chan struct{}, 1), due: make(map[Fingerprint]dueWrite)}
-	d.Ledger.onHeld = func(f Fingerprint, own bool) {
-		wait := writeOwn
-		if !own {
-			wait = writeOther + rand.N(writeSpread)
+// NewPersister returns a persister and registers it with the ledger.
+func NewPersister(d PersisterDeps) *Persister {
+	p := &Persister{PersisterDeps: d, wake: make(chan struct{}, 1), pendingWrites: make(map[Fingerprint]pendingWrite)}
+	d.Ledger.onHeld = func(f Fingerprint, local bool) {
+		wait := localWriteDelay
+		if !local {
+			wait = remoteWriteDelay + rand.N(remoteWriteSpread)
 		}
-		k.plan(f, dueWrite{at: clock.Now().Add(wait), own: own})
+		p.scheduleWrite(f, pendingWrite{at: clock.Now().Add(wait), local: local})
 		d.OnHeld(f)
 	}
-	return k
+	return p
 }
 
-// plan lets the state of a request be written at a time.
-func (k *Keeper) plan(f Fingerprint, d dueWrite) {
-	k.mu.Lock()
-	k.due[f] = d
-	k.mu.Unlock()
+// scheduleWrite schedules a write of the state of a request.
+func (p *Persister) scheduleWrite(f Fingerprint, w pendingWrite) {
+	p.mu.Lock()
+	p.pendingWrites[f] = w
+	p.mu.Unlock()
 	select {
-	case k.planned <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run reads the record, and then writes what is held until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	k.load(ctx)
+// Run loads the record and then writes changes to held requests until ctx is done.
+func (p *Persister) Run(ctx context.Context) {
+	p.load(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.planned:
+		case <-p.wake:
 		case <-timer.C:
 		}
-		k.writeDue(ctx, clock.Now())
-		if wait, more := k.nextDue(clock.Now()); more {
+		p.writePending(ctx, clock.Now())
+		if wait, more := p.untilNextWrite(clock.Now()); more {
 			timer.Reset(wait)
 		}
 	}
 }
 
-// nextDue is the time until the next write is due; false if none is planned.
-func (k *Keeper) nextDue(now time.Time) (wait time.Duration, more bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, d := range k.due {
-		if left := max(0, d.at.Sub(now)); !more || left < wait {
+// untilNextWrite returns the time until the next scheduled write; false if there is none.
+func (p *Persister) untilNextWrite(now time.Time) (wait time.Duration, more bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, w := range p.pendingWrites {
+		if left := max(0, w.at.Sub(now)); !more || left < wait {
 			wait, more = left, true
 		}
 	}
 	return wait, more
 }
 
-// load learns what the record tells, from other boxes or from the store.
-func (k *Keeper) load(ctx context.Context) {
-	k.await(ctx, meetMost, func() bool { return len(k.Sharer.Peers()) > 0 })
-	// Of 985 boxes that drew evenly 700 read the record for themselves.
-	k.await(ctx, readLeast+pause.Suppressed(readSpread, len(k.Sharer.Peers())+1), k.Sharer.Informed)
-	for !k.Sharer.Informed() && ctx.Err() == nil {
-		s, err := k.read(ctx)
+// load gets the contents of the record from peers or from the store.
+func (p *Persister) load(ctx context.Context) {
+	p.waitFor(ctx, maxPeerWait, func() bool { return len(p.Gossiper.Peers()) > 0 })
+	// With a uniform delay, most boxes of a large fleet would read the store.
+	p.waitFor(ctx, minReadDelay+pause.Suppressed(readDelaySpread, len(p.Gossiper.Peers())+1), p.Gossiper.Synced)
+	for !p.Gossiper.Synced() && ctx.Err() == nil {
+		s, err := p.read(ctx)
 		if err != nil {
-			_ = level.Info(k.Logger).Log("msg", "held requests not read", "err", err, "outcome", "tried again")
-			pause.For(ctx, retryPause+rand.N(retryPause))
+			_ = level.Info(p.Logger).Log("msg", "reading held requests failed", "err", err, "outcome", "retrying")
+			pause.For(ctx, retryDelay+rand.N(retryDelay))
 			continue
 		}
-		k.takeRecord(s.Record, clock.Now())
-		k.Sharer.SetInformed()
-		_ = level.Info(k.Logger).Log("msg", "held requests read", "held", len(s.Record.Held), "revision", s.Revision)
+		p.applyRecord(s.Record, clock.Now())
+		p.Gossiper.MarkSynced()
+		_ = level.Info(p.Logger).Log("msg", "loaded held requests", "held", len(s.Record.Held), "revision", s.Revision)
 	}
 }
 
-// await waits for something, for some time at the most.
-func (k *Keeper) await(ctx context.Context, most time.Duration, there func() bool) {
-	for end := clock.Now().Add(most); clock.Now().Before(end) && !there() && ctx.Err() == nil; {
-		pause.For(ctx, readCheck)
+// waitFor polls a condition until it holds, the timeout has passed or ctx is done.
+func (p *Persister) waitFor(ctx context.Context, timeout time.Duration, cond func() bool) {
+	for end := clock.Now().Add(timeout); clock.Now().Before(end) && !cond() && ctx.Err() == nil; {
+		pause.For(ctx, syncPollInterval)
 	}
 }
 
-func (k *Keeper) read(ctx context.Context) (Stored, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
+func (p *Persister) read(ctx context.Context) (Stored, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	return k.Store.Read(ctx)
+	return p.Store.Read(ctx)
 }
 
-// takeRecord takes the record in. When the servers ended it does not tell: the waits until the
-// next trials begin anew.
-func (k *Keeper) takeRecord(r Record, now time.Time) {
+// applyRecord merges the record into the ledger. The record has no crash times, so the delays until the
+// next trials start anew.
+func (p *Persister) applyRecord(r Record, now time.Time) {
 	for n := range r.Held {
 		h := &r.Held[n]
 		f, ok := h.fingerprint()
 		if !ok {
-			_ = level.Warn(k.Logger).Log("msg", "held request of the record left out", "reason", "its digest can't be read")
+			_ = level.Warn(p.Logger).Log("msg", "ignoring malformed held request in the record", "reason", "malformed digest")
 			continue
 		}
 		i := newItem(f)
-		for n, life := range h.Crashed[:min(len(h.Crashed), endsMost)] {
-			i.Ends[IncarnationHash(life)] = now.Add(-time.Duration(n) * IncidentWindow)
+		for n, incarnation := range h.Crashed[:min(len(h.Crashed), maxCrashes)] {
+			i.Crashes[IncarnationHash(incarnation)] = now.Add(-time.Duration(n) * IncidentWindow)
 		}
 		i.Trials, i.Stored = h.Trials, true
-		k.Ledger.Take(i, now)
+		p.Ledger.Merge(i, now)
 	}
 }
 
-// writeDue writes the states that are due.
-func (k *Keeper) writeDue(ctx context.Context, now time.Time) {
-	for f, d := range k.takeDue(now) {
-		if i, ok := k.Ledger.Item(f); ok && i.Stored && !d.own {
+// writePending writes the states that are due.
+func (p *Persister) writePending(ctx context.Context, now time.Time) {
+	for f, w := range p.takeDueWrites(now) {
+		if i, ok := p.Ledger.Item(f); ok && i.Stored && !w.local {
 			continue
 		}
-		if err := k.update(ctx, f, false); err != nil {
-			_ = level.Info(k.Logger).Log("msg", "held request not written", "request", f, "err", err, "outcome", "tried again")
-			d.at = clock.Now().Add(retryPause + rand.N(retryPause))
-			k.plan(f, d)
+		if err := p.updateRecord(ctx, f, false); err != nil {
+			_ = level.Info(p.Logger).Log("msg", "writing held request failed", "request", f, "err", err, "outcome", "retrying")
+			w.at = clock.Now().Add(retryDelay + rand.N(retryDelay))
+			p.scheduleWrite(f, w)
 		}
 	}
 }
 
-func (k *Keeper) takeDue(now time.Time) map[Fingerprint]dueWrite {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	taken := make(map[Fingerprint]dueWrite)
-	for f, d := range k.due {
-		if !now.Before(d.at) {
-			taken[f] = d
-			delete(k.due, f)
+func (p *Persister) takeDueWrites(now time.Time) map[Fingerprint]pendingWrite {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	due := make(map[Fingerprint]pendingWrite)
+	for f, w := range p.pendingWrites {
+		if !now.Before(w.at) {
+			due[f] = w
+			delete(p.pendingWrites, f)
 		}
 	}
-	return taken
+	return due
 }
 
-// errTrialTaken says that another box has begun the trial.
-var errTrialTaken = errors.New("another box has begun the trial")
+// errTrialStarted is returned if another box has begun the trial.
+var errTrialStarted = errors.New("another box has begun the trial")
 
-// update brings the record's word on a request up to what the ledger knows, and counts a trial
-// more if one is to begin.
-func (k *Keeper) update(ctx context.Context, f Fingerprint, trial bool) error {
-	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
+// updateRecord writes the state of a request in the ledger to the record. If trial is set, it also counts
+// a new trial.
+func (p *Persister) updateRecord(ctx context.Context, f Fingerprint, trial bool) error {
+	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
 	var conflict *ConflictError
-	for range conflictsMost {
-		err := k.updateOnce(ctx, f, trial)
+	for range maxConflicts {
+		err := p.tryUpdateRecord(ctx, f, trial)
 		if !errors.As(err, &conflict) {
 			return err
 		}
@@ -270,21 +268,21 @@
 	return conflict
 }
 
-func (k *Keeper) updateOnce(ctx context.Context, f Fingerprint, trial bool) error {
-	s, err := k.Store.Read(ctx)
+func (p *Persister) tryUpdateRecord(ctx context.Context, f Fingerprint, trial bool) error {
+	s, err := p.Store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	item, known := k.Ledger.Item(f)
+	item, known := p.Ledger.Item(f)
 	if !known {
 		return nil
 	}
 	v := item.verdict()
 	at := s.Record.index(f)
 	if at >= 0 {
-		if taken := s.Record.Held[at].Trials; trial && taken > v.Trials {
-			k.Ledger.noteRecord(f, true, taken)
-			return errTrialTaken
+		if recorded := s.Record.Held[at].Trials; trial && recorded > v.Trials {
+			p.Ledger.setStored(f, true, recorded)
+			return errTrialStarted
 		}
 		s.Record.Held = slices.Delete(s.Record.Held, at, at+1)
 	}
@@ -295,56 +293,56 @@
 	if v.Held {
 		s.Record.Held = append(s.Record.Held, heldRequest(&item, trials))
 	}
-	s.Record.Held = s.Record.Held[max(0, len(s.Record.Held)-heldMost):]
-	if err := k.Store.Write(ctx, s.Record, s.Revision); err != nil {
+	s.Record.Held = s.Record.Held[max(0, len(s.Record.Held)-maxHeld):]
+	if err := p.Store.Write(ctx, s.Record, s.Revision); err != nil {
 		return err
 	}
-	k.Ledger.noteRecord(f, v.Held, trials)
-	_ = level.Info(k.Logger).Log("msg", "record of held requests written", "request", f, "held", v.Held, "ends", v.Crashes, "trials", trials, "of", len(s.Record.Held))
+	p.Ledger.setStored(f, v.Held, trials)
+	_ = level.Info(p.Logger).Log("msg", "updated record of held requests", "request", f, "held", v.Held, "ends", v.Crashes, "trials", trials, "of", len(s.Record.Held))
 	return nil
 }
 
 func heldRequest(i *Item, trials int) HeldRequest {
 	h := HeldRequest{Outline: uint64(i.Fingerprint.Outline), Digest: i.Fingerprint.Digest[:], Trials: trials}
-	for life := range i.Ends {
-		if !i.Excused[life] {
-			h.Crashed = append(h.Crashed, uint64(life))
+	for incarnation := range i.Crashes {
+		if !i.Excused[incarnation] {
+			h.Crashed = append(h.Crashed, uint64(incarnation))
 		}
 	}
 	return h
 }
 
-// BeginTrial asks for the one trial of a held request that is due, and returns whether this box
-// may make it: one box of the fleet may, by a condition in the store.
-func (k *Keeper) BeginTrial(ctx context.Context, f Fingerprint, now time.Time) bool {
-	v := k.Ledger.Verdict(f)
-	if !v.Held || v.NextTrial.IsZero() || now.Before(v.NextTrial) || !k.mayAskForTrial(now) {
+// BeginTrial reports whether this box may send a held request as a trial now. A conditional write to the
+// store ensures that only one box of the fleet runs each trial.
+func (p *Persister) BeginTrial(ctx context.Context, f Fingerprint, now time.Time) bool {
+	v := p.Ledger.Verdict(f)
+	if !v.Held || v.NextTrial.IsZero() || now.Before(v.NextTrial) || !p.allowTrialRequest(now) {
 		return false
 	}
-	err := k.update(ctx, f, true)
-	_ = level.Info(k.Logger).Log("msg", "trial of a held request", "request", f, "ends", v.Crashes, "trials", v.Trials, "granted", err == nil, "err", err)
+	err := p.updateRecord(ctx, f, true)
+	_ = level.Info(p.Logger).Log("msg", "requested trial of held request", "request", f, "ends", v.Crashes, "trials", v.Trials, "granted", err == nil, "err", err)
 	return err == nil
 }
 
-// mayAskForTrial lets this box ask the store for a trial now and then only: while the store is
-// away, each try of each caller would ask it.
-func (k *Keeper) mayAskForTrial(now time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if now.Sub(k.askedForTrial) < trialPause {
+// allowTrialRequest limits requests for trials to one per trialRequestInterval, so that retries by callers
+// do not reach a store that is down.
+func (p *Persister) allowTrialRequest(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now.Sub(p.lastTrialRequest) < trialRequestInterval {
 		return false
 	}
-	k.askedForTrial = now
+	p.lastTrialRequest = now
 	return true
 }
 
-// RecordSuccess notes that a request was run to its end. One that was held is released everywhere.
-func (k *Keeper) RecordSuccess(f Fingerprint) {
-	held := k.Ledger.Verdict(f).Held
-	k.Ledger.RecordSuccess(f)
+// RecordSuccess records that a request completed. If it was held, it is released on all boxes.
+func (p *Persister) RecordSuccess(f Fingerprint) {
+	held := p.Ledger.Verdict(f).Held
+	p.Ledger.RecordSuccess(f)
 	if !held {
 		return
 	}
-	_ = level.Info(k.Logger).Log("msg", "held request released", "request", f)
-	k.plan(f, dueWrite{own: true})
+	_ = level.Info(p.Logger).Log("msg", "held request released", "request", f)
+	p.scheduleWrite(f, pendingWrite{local: true})
 }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -13,39 +13,40 @@
 	"headhill.example/headhill/pkg/datagram"
 )
 
-// Deps are what a Quarantine is built on.
+// Deps are the dependencies of a Quarantine.
 type Deps struct {
 	Port *datagram.Port
-	// Peers are the addresses of the other boxes.
+	// Peers returns the addresses of the other boxes.
 	Peers func() []*net.UDPAddr
 	Store Store
-	// Timeout bounds a call to the store.
+	// Timeout limits each call to the store.
 	Timeout time.Duration
 	Logger  log.Logger
 }
 
-// Quarantine is a box's part in keeping requests that crash servers away from them.
+// Quarantine holds back requests that crash servers, sharing its state with the other boxes.
 type Quarantine struct {
-	ledger *Ledger
-	sharer *Sharer
-	keeper *Keeper
-	logger log.Logger
-	// onHeld ends the requests in progress that are held from now on.
+	ledger    *Ledger
+	gossiper  *Gossiper
+	persister *Persister
+	logger    log.Logger
+	// onHeld cancels the requests in progress that are now held.
 	onHeld func(Fingerprint)
 }
 
-// New returns a quarantine that hears the port's messages from now on.
+// New returns a quarantine and registers it for messages on the port.
 func New(d Deps) *Quarantine {
 	q := &Quarantine{ledger: NewLedger(), logger: d.Logger, onHeld: func(Fingerprint) {}}
-	q.sharer = NewSharer(SharerDeps{Port: d.Port, Peers: d.Peers, Ledger: q.ledger, Logger: d.Logger})
-	q.keeper = NewKeeper(KeeperDeps{
-		Store: d.Store, Ledger: q.ledger, Sharer: q.sharer, Logger: d.Logger, Timeout: d.Timeout,
+	q.gossiper = NewGossiper(GossiperDeps{Port: d.Port, Peers: d.Peers, Ledger: q.ledger, Logger: d.Logger})
+	q.persister = NewPersister(PersisterDeps{
+		Store: d.Store, Ledger: q.ledger, Gossiper: q.gossiper, Logger: d.Logger, Timeout: d.Timeout,
 		OnHeld: func(f Fingerprint) { go q.held(f) },
 	})
 	return q
 }
 
-// OnHeld sets who is told of each request that is held from now on. It is set before Run.
+// OnHeld sets the function that is called for each request that becomes held. It must be called before
+// Run.
 func (q *Quarantine) OnHeld(f func(Fingerprint)) { q.onHeld = f }
 
 func (q *Quarantine) held(f Fingerprint) {
@@ -54,37 +55,36 @@
 	q.onHeld(f)
 }
 
-// Run shares and keeps what is known until ctx ends.
+// Run exchanges evidence with other boxes and updates the store until ctx is done.
 func (q *Quarantine) Run(ctx context.Context) {
 	var wg conc.WaitGroup
-	wg.Go(func() { q.sharer.Run(ctx) })
-	wg.Go(func() { q.keeper.Run(ctx) })
+	wg.Go(func() { q.gossiper.Run(ctx) })
+	wg.Go(func() { q.persister.Run(ctx) })
 	wg.Wait()
 }
 
-// MaySuspect tells whether a request may be known: only then its fingerprint is worth the hash of
-// its body.
+// MaySuspect reports whether a request may be a suspect. If not, its fingerprint is not needed.
 func (q *Quarantine) MaySuspect(r *Request) bool {
 	return !q.ledger.Empty() && q.ledger.MaySuspect(OutlineOf(r))
 }
 
-// Verdict says what is to be done with a request.
+// Verdict returns the verdict on a request.
 func (q *Quarantine) Verdict(f Fingerprint) Verdict { return q.ledger.Verdict(f) }
 
-// RecordCrash notes that a life of a server ended under a request of this box.
-func (q *Quarantine) RecordCrash(f Fingerprint, life IncarnationHash, at time.Time) {
-	q.ledger.RecordCrash(f, life, at)
+// RecordCrash records that a server crashed while it had a request of this box.
+func (q *Quarantine) RecordCrash(f Fingerprint, incarnation IncarnationHash, at time.Time) {
+	q.ledger.RecordCrash(f, incarnation, at)
 }
 
-// RecordSuccess notes that a request was run to its end.
-func (q *Quarantine) RecordSuccess(f Fingerprint) { q.keeper.RecordSuccess(f) }
+// RecordSuccess records that a request completed.
+func (q *Quarantine) RecordSuccess(f Fingerprint) { q.persister.RecordSuccess(f) }
 
-// BeginTrial returns whether this box may try a held request now.
+// BeginTrial reports whether this box may send a held request as a trial now.
 func (q *Quarantine) BeginTrial(ctx context.Context, f Fingerprint, now time.Time) bool {
-	return q.keeper.BeginTrial(ctx, f, now)
+	return q.persister.BeginTrial(ctx, f, now)
 }
 
-// Counts is how many requests are suspected and how many are held, by these words.
+// Counts returns the number of suspected and of held requests.
 func (q *Quarantine) Counts() map[string]int64 {
 	suspects, held := q.ledger.Counts()
 	return map[string]int64{"suspected": int64(suspects), "held": int64(held)}
