--- a/pkg/fleetlimit/limiter_test.go
+++ b/pkg/fleetlimit/limiter_test.go
@@ -48,7 +48,7 @@
 
 // The warm-up limit must hold if two parts of the fleet have disjoint member lists, boxes restart, and
 // one box is unknown to most others.
-func TestFleetStaysWithinWhatAServerBears(t *testing.T) {
+func TestFleetStaysWithinWarmUpLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{7, 30, 84}).Draw(t, "boxes")
 		w := routing.WarmUp{Duration: 3 * time.Second, PerSecond: rapid.Float64Range(3, 40).Draw(t, "per second")}
--- a/pkg/fleetlimit/signalled_test.go
+++ b/pkg/fleetlimit/signalled_test.go
@@ -36,7 +36,7 @@
 
 // A signalled limit must hold if member lists differ by one box, boxes restart, and the limit is lowered
 // and learned with a lag.
-func TestFleetStaysWithinTheLimitOfAServer(t *testing.T) {
+func TestFleetStaysWithinSignalledLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 3, 7, 14, 84}).Draw(t, "boxes")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
--- a/pkg/quarantine/gossiper_test.go
+++ b/pkg/quarantine/gossiper_test.go
@@ -167,7 +167,7 @@
 
 // After three boxes each saw one server crash under a request, all boxes must hold it, also with packet loss
 // and in a fleet with more than maxDirectPeers boxes.
-func TestAllBoxesHoldWhatThreeOfThemSaw(t *testing.T) {
+func TestAllBoxesHoldAfterThreeCrashes(t *testing.T) {
 	for _, c := range []struct{ boxes, dropEvery int }{{4, 0}, {7, 3}, {60, 0}, {60, 10}} {
 		t.Run(fmt.Sprintf("%d boxes, one in %d lost", c.boxes, c.dropEvery), func(t *testing.T) {
 			b := startFleet(t, c.boxes, c.dropEvery)
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestBoxesThatStartLearnWhatIsHeld(t *testing.T) {
+func TestStartingBoxesLearnHeldRequests(t *testing.T) {
 	b := startFleet(t, 3, 0)
 	f := fingerprint("crashing")
 	for n := range 3 {
@@ -237,7 +237,7 @@
 }
 
 // Only one of the boxes may run the trial of a held request.
-func TestOneBoxMakesATrial(t *testing.T) {
+func TestOneBoxRunsTrial(t *testing.T) {
 	b := startFleet(t, 4, 0)
 	f := fingerprint("crashing")
 	for n := range 3 {
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -91,7 +91,7 @@
 
 // When boxes excuse a request from different crashes and merge their items, no excused crash may count
 // again.
-func TestExcusedEndsOfOtherBoxesStayExcused(t *testing.T) {
+func TestExcusedCrashesStayExcusedAcrossBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := []*Ledger{NewLedger(), NewLedger(), NewLedger()}
 		f := fingerprint("a")
@@ -190,7 +190,7 @@
 
 // Harmless requests must not be held while many servers crash, as long as some of their runs complete:
 // each is on one server at a time, and one server of twelve crashes every 300 ms.
-func TestHarmlessRequestsAreNotHeldWhileServersDie(t *testing.T) {
+func TestHarmlessRequestsAreNotHeldDuringCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
 		const servers, requests, stepMS = 12, 5, 50
--- a/pkg/signals/tracker_test.go
+++ b/pkg/signals/tracker_test.go
@@ -30,7 +30,7 @@
 
 func newTracker() *Tracker { return NewTracker(log.NewNopLogger(), func() {}) }
 
-func TestLimitHoldsUntilALaterRequestIsAnsweredWithoutIt(t *testing.T) {
+func TestLimitHoldsUntilLaterAnswerWithoutIt(t *testing.T) {
 	tracker := newTracker()
 	expect := func(s Signals, reason string) {
 		t.Helper()
