--- a/pkg/autoscale/doc.go
+++ b/pkg/autoscale/doc.go
@@ -1,5 +1,5 @@
-// Package autoscale decides how many backend servers of a service are ordered, in which
-// hall and of which kind. It is told what is there and what is asked, with the time, and
-// returns orders; it calls nobody. Servers on demand stay; spot servers cost less, and
-// all those of a hall may be taken away at short notice.
+// Package autoscale decides how many backend servers of a service to order, in which hall and of
+// which kind. It computes orders from the listed servers, the current load and the time, and
+// performs no I/O. On-demand servers stay until they are given up; spot servers are cheaper, but
+// all spot servers of a hall may be reclaimed at short notice.
 package autoscale
--- a/pkg/autoscale/forecast.go
+++ b/pkg/autoscale/forecast.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// trendTime is the time over which the trend of the load is measured.
-	trendTime = 1200 * time.Millisecond
-	// trendMost bounds the forecast, as a multiple of the load of now.
-	trendMost = 1.15
-	// holdTime is how long a load that was forecast is still prepared for.
-	holdTime = 4 * time.Second
+	// trendWindow is the interval over which the load trend is measured.
+	trendWindow = 1200 * time.Millisecond
+	// maxForecastRatio caps the forecast as a multiple of the current load.
+	maxForecastRatio = 1.15
+	// forecastHold is how long a forecast is retained after it was made.
+	forecastHold = 4 * time.Second
 )
 
-// Forecast foresees the load at the time at which a server ordered now would serve.
+// Forecast predicts the load at the time when a server ordered now would begin to serve.
 type Forecast struct{ samples []sample }
 
 type sample struct {
-	at    time.Time
-	load  float64
-	ahead float64
+	at       time.Time
+	load     float64
+	forecast float64
 }
 
-// Add takes in the load of now.
+// Add records the current load and derives a forecast from its trend.
 func (f *Forecast) Add(load float64, boot time.Duration, now time.Time) {
-	s := sample{at: now, load: load, ahead: load}
-	if before, ok := f.before(now.Add(-trendTime)); ok {
-		slope := (load - before.load) / now.Sub(before.at).Seconds()
-		s.ahead = min(max(load, load+slope*boot.Seconds()), trendMost*load)
+	s := sample{at: now, load: load, forecast: load}
+	if earlier, ok := f.sampleBefore(now.Add(-trendWindow)); ok {
+		slope := (load - earlier.load) / now.Sub(earlier.at).Seconds()
+		s.forecast = min(max(load, load+slope*boot.Seconds()), maxForecastRatio*load)
 	}
 	f.samples = append(f.samples, s)
-	for len(f.samples) > 0 && now.Sub(f.samples[0].at) > holdTime {
+	for len(f.samples) > 0 && now.Sub(f.samples[0].at) > forecastHold {
 		f.samples = f.samples[1:]
 	}
 }
 
-// before is the newest sample that is not younger than a time.
-func (f *Forecast) before(t time.Time) (sample, bool) {
+// sampleBefore returns the newest sample taken at or before t.
+func (f *Forecast) sampleBefore(t time.Time) (sample, bool) {
 	for i := len(f.samples) - 1; i >= 0; i-- {
 		if !f.samples[i].at.After(t) {
 			return f.samples[i], true
@@ -43,11 +43,11 @@
 	return sample{}, false
 }
 
-// Peak is the highest load that was foreseen of late.
+// Peak returns the highest forecast within the retention time.
 func (f *Forecast) Peak() float64 {
 	peak := 0.0
 	for _, s := range f.samples {
-		peak = max(peak, s.ahead)
+		peak = max(peak, s.forecast)
 	}
 	return peak
 }
--- a/pkg/autoscale/hallcounts.go
+++ b/pkg/autoscale/hallcounts.go
@@ -1,4 +1,5 @@
 package autoscale
 
-// HallCounts is what was ordered of a service, by hall. It is handed on with the lease.
+// HallCounts holds server counts by hall and kind. The ordered counts are part of the state that is
+// passed on with the lease.
 type HallCounts map[string]PerKind
--- a/pkg/autoscale/hallstate.go
+++ b/pkg/autoscale/hallstate.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// hallState is what is known of a hall besides what was ordered.
+// hallState is the observed state of a hall.
 type hallState struct {
-	// ready and leaving are the servers listed.
+	// ready and leaving count the listed servers.
 	ready, leaving PerKind
-	// refused tells that a kind could not be had, probed is when it was last asked for; grown
-	// and shrunk are when more and less of it was last ordered.
-	refused [kinds]bool
-	probed  [kinds]time.Time
-	grown   [kinds]time.Time
-	shrunk  [kinds]time.Time
+	// unavailable marks kinds for which the last order failed or whose servers were lost, lastProbe
+	// is when that was noticed or the kind was last requested again. lastGrown and lastShrunk are
+	// the times of the last order for more and for fewer servers.
+	unavailable [numKinds]bool
+	lastProbe   [numKinds]time.Time
+	lastGrown   [numKinds]time.Time
+	lastShrunk  [numKinds]time.Time
 }
 
-// refuse notes that a kind can't be had at present.
-func (h *hallState) refuse(k Kind, now time.Time) { h.refused[k], h.probed[k] = true, now }
+func (h *hallState) markUnavailable(k Kind, now time.Time) {
+	h.unavailable[k], h.lastProbe[k] = true, now
+}
 
-// probeDue tells whether a kind that could not be had is to be asked for again.
+// probeDue reports whether an unavailable kind should be requested again.
 func (h *hallState) probeDue(k Kind, now time.Time) bool {
-	return h.refused[k] && now.Sub(h.probed[k]) >= probeEvery
+	return h.unavailable[k] && now.Sub(h.lastProbe[k]) >= probeInterval
 }
--- a/pkg/autoscale/planner.go
+++ b/pkg/autoscale/planner.go
@@ -8,62 +8,60 @@
 )
 
 const (
-	// probeEvery is how often a kind of server is asked for again in a hall after it could not
-	// be had, or was taken away there.
-	probeEvery = 1500 * time.Millisecond
-	// findTime is for how long no server must have come before a planner gives any up: at the
-	// start of a fleet, and of a box, the list grows for seconds.
-	findTime = 1200 * time.Millisecond
-	// stepShare is the least change that is ordered, as a part of what is ordered: each order
-	// is a call, and each server that comes or goes is told to all boxes.
-	stepShare = 0.05
-	// bootMargin is what a server may take longer than it should until it is listed. One that
-	// is not there after that counts as lost.
+	// probeInterval is the time between requests for a kind that is unavailable in a hall.
+	probeInterval = 1500 * time.Millisecond
+	// discoverySettleTime is how long the number of listed servers must not grow before a planner
+	// scales down: the list is incomplete for some seconds after the fleet or the box starts.
+	discoverySettleTime = 1200 * time.Millisecond
+	// minStepShare is the smallest change that is ordered, as a share of the ordered count: each
+	// order costs a call, and each server that is added or removed is announced to all boxes.
+	minStepShare = 0.05
+	// bootMargin is added to the boot time before an ordered server that is not listed counts as
+	// lost.
 	bootMargin = 3 * time.Second
-	// leaveMargin is what a server that was given up may take until it says that it leaves.
-	// One that is there after that counts as ordered.
+	// leaveMargin is how long a server that was given up may remain listed as ready before it
+	// counts as ordered again.
 	leaveMargin = 3 * time.Second
-	// reclaimPrior is the time in seconds in which one reclaim is expected before any was seen.
-	// Of 60, 20 and 10 the last served 0.949, 0.962 and 0.966 of a day on which all spot servers
-	// of a hall went twice (87 boxes, 180 engines, one day each).
-	reclaimPrior = 10.0
+	// reclaimPriorSeconds is the assumed time between reclaims before any has been observed.
+	reclaimPriorSeconds = 10.0
 )
 
-// Planner plans the orders of one service. It keeps what was ordered and what was refused.
+// Planner plans the orders of one service. It tracks the ordered counts and unavailable kinds.
 type Planner struct {
 	service string
 	policy  Policy
 
-	offer    Offer
-	ordered  HallCounts
-	halls    map[string]*hallState
-	forecast Forecast
-	begun    time.Time
-	reclaims int
-	shrunk   time.Time
-	// spotOver is since when there are more spot servers than wanted.
-	spotOver time.Time
-	// learned tells that a load was known once. Until then the servers found at the begin are
-	// kept, or what the book says where there was one.
-	learned bool
-	adopted bool
-	// found is how many servers there were, at the time foundAt at the latest; foundAll tells
-	// that no more came for a while.
-	found    int
-	foundAt  time.Time
-	foundAll bool
+	offer         Offer
+	ordered       HallCounts
+	halls         map[string]*hallState
+	forecast      Forecast
+	startedAt     time.Time
+	reclaims      int
+	lastScaleDown time.Time
+	// spotExcessSince is when the number of spot servers last rose above the target.
+	spotExcessSince time.Time
+	// loadKnown is set once a load has been reported. Until then the ordered counts are kept; if
+	// the planner started without any, adoptExisting is set and the number of discovered servers is
+	// kept.
+	loadKnown     bool
+	adoptExisting bool
+	// discovered is the number of on-demand servers found at startup, discoveredAt is when it last
+	// grew, discoveryDone is set once it has settled.
+	discovered    int
+	discoveredAt  time.Time
+	discoveryDone bool
 }
 
-// NewPlanner returns a planner that goes on from a book; with an empty one it goes on from
-// what is there.
-func NewPlanner(service string, policy Policy, book HallCounts, now time.Time) *Planner {
-	return &Planner{service: service, policy: policy, ordered: maps.Clone(book), halls: make(map[string]*hallState), begun: now, spotOver: now}
+// NewPlanner returns a planner that continues from the given ordered counts, or from the listed
+// servers if there are none.
+func NewPlanner(service string, policy Policy, ordered HallCounts, now time.Time) *Planner {
+	return &Planner{service: service, policy: policy, ordered: maps.Clone(ordered), halls: make(map[string]*hallState), startedAt: now, spotExcessSince: now}
 }
 
-// Ordered is what is ordered.
+// Ordered returns a copy of the ordered counts.
 func (p *Planner) Ordered() HallCounts { return maps.Clone(p.ordered) }
 
-// Status is what a plan rested on, for logs and metrics.
+// Status describes the inputs and the result of a plan, for logs and metrics.
 type Status struct {
 	Load         Load
 	ForecastPeak float64
@@ -72,46 +70,46 @@
 	Leaving      HallCounts
 }
 
-// Plan takes in what is there and what is asked, and returns the orders that follow, those of
-// more servers first.
+// Plan updates the planner with the listed servers and the current load, and returns the resulting
+// orders. Orders for more servers come before those for fewer.
 func (p *Planner) Plan(offer Offer, servers []Server, load Load, now time.Time) ([]Order, Status) {
 	p.offer = offer
 	p.count(servers)
 	if len(p.ordered) == 0 {
-		p.ordered, p.adopted = make(HallCounts), true
+		p.ordered, p.adoptExisting = make(HallCounts), true
 	}
-	p.noteLosses(now)
-	if p.finding(now) {
-		// Cheaper servers may be ordered already; nothing is given up.
+	p.reconcile(now)
+	if p.discovering(now) {
+		// While the list is incomplete, servers may be added but none are given up.
 		targets := p.targets(now, false)
-		return p.grow(targets, now), p.status(load, targets)
+		return p.scaleUp(targets, now), p.status(load, targets)
 	}
 	if load.Known {
-		p.learned = true
+		p.loadKnown = true
 	}
-	if p.learned {
+	if p.loadKnown {
 		p.forecast.Add(load.BusyServers, offer.Boot, now)
 	}
 	targets := p.targets(now, false)
 	orders := p.probe(now)
-	orders = append(orders, p.grow(targets, now)...)
-	orders = append(orders, p.shrink(targets, now)...)
+	orders = append(orders, p.scaleUp(targets, now)...)
+	orders = append(orders, p.scaleDown(targets, now)...)
 	return orders, p.status(load, targets)
 }
 
-// finding tells whether the list of what is there still grows, as at a start.
-func (p *Planner) finding(now time.Time) bool {
-	if p.foundAll {
+// discovering reports whether the number of listed servers is still growing after a start.
+func (p *Planner) discovering(now time.Time) bool {
+	if p.discoveryDone {
 		return false
 	}
-	if ready := p.readyOnDemand(); ready > p.found || p.foundAt.IsZero() {
-		p.found, p.foundAt = ready, now
+	if ready := p.readyOnDemand(); ready > p.discovered || p.discoveredAt.IsZero() {
+		p.discovered, p.discoveredAt = ready, now
 	}
-	p.foundAll = now.Sub(p.foundAt) >= findTime
-	return !p.foundAll
+	p.discoveryDone = now.Sub(p.discoveredAt) >= discoverySettleTime
+	return !p.discoveryDone
 }
 
-// readyOnDemand is the number of servers on demand that stay.
+// readyOnDemand returns the number of on-demand servers that are not leaving.
 func (p *Planner) readyOnDemand() int {
 	n := 0
 	for _, h := range p.halls {
@@ -120,7 +118,7 @@
 	return n
 }
 
-// count counts the servers listed.
+// count updates the counts of listed servers of each hall.
 func (p *Planner) count(servers []Server) {
 	for name := range p.offer.Prices {
 		h := p.hall(name)
@@ -145,73 +143,73 @@
 	return h
 }
 
-// names are the halls in which servers can be ordered, the cheapest first.
-func (p *Planner) names() []string {
+// hallNames returns the halls in which servers can be ordered, cheapest first.
+func (p *Planner) hallNames() []string {
 	return slices.SortedFunc(maps.Keys(p.offer.Prices), func(a, b string) int {
 		return cmp.Or(cmp.Compare(p.offer.Prices[a], p.offer.Prices[b]), cmp.Compare(a, b))
 	})
 }
 
-// noteLosses notes servers that were ordered and are not there, though they had time to
-// boot or were there before; and servers that came back or were never given up.
-func (p *Planner) noteLosses(now time.Time) {
-	for _, name := range p.names() {
+// reconcile corrects the ordered counts by the listed servers. Missing servers count as lost once
+// their boot time has passed or the hall's spot servers are being reclaimed; surplus servers count
+// as ordered once they have had time to leave.
+func (p *Planner) reconcile(now time.Time) {
+	for _, name := range p.hallNames() {
 		h, ordered := p.hall(name), p.ordered[name]
-		for k := range kinds {
+		for k := range numKinds {
 			missing := ordered[k] - h.ready[k]
-			if missing < 0 && now.Sub(h.shrunk[k]) > leaveMargin {
+			if missing < 0 && now.Sub(h.lastShrunk[k]) > leaveMargin {
 				ordered[k] = h.ready[k]
 				p.ordered[name] = ordered
 			}
-			overdue := now.Sub(h.grown[k]) > p.offer.Boot+bootMargin
-			taken := k == Spot && missing > 0 && h.leaving[k] > 0
-			if missing <= 0 || !overdue && !taken {
+			overdue := now.Sub(h.lastGrown[k]) > p.offer.Boot+bootMargin
+			reclaimed := k == Spot && missing > 0 && h.leaving[k] > 0
+			if missing <= 0 || !overdue && !reclaimed {
 				continue
 			}
-			if taken && !h.refused[k] {
+			if reclaimed && !h.unavailable[k] {
 				p.reclaims++
 			}
-			h.refuse(k, now)
+			h.markUnavailable(k, now)
 			ordered[k] = h.ready[k]
 			p.ordered[name] = ordered
 		}
 	}
 }
 
-// MarkUnavailable notes that an order for more servers was not taken: there are none at present.
+// MarkUnavailable records that an order for more servers was refused for lack of capacity.
 func (p *Planner) MarkUnavailable(o Order, now time.Time) {
-	p.hall(o.Hall).refuse(o.Kind, now)
+	p.hall(o.Hall).markUnavailable(o.Kind, now)
 	p.Undo(o)
 }
 
-// Undo takes an order back that was not made.
+// Undo reverts an order that was not placed.
 func (p *Planner) Undo(o Order) {
 	ordered := p.ordered[o.Hall]
 	ordered[o.Kind] = o.Previous
 	p.ordered[o.Hall] = ordered
 }
 
-// targets asks the policy, by hall. Before any load is known the number of servers stays as
-// it is, and they are had as cheaply as can be.
-// Where a kind could not be had, the targets are without more of it, unless they are to tell
-// what to ask for again.
+// targets returns the counts wanted by the policy. Before any load is known, the number of servers
+// stays the same, placed as cheaply as possible. Targets include no additional servers of
+// unavailable kinds, unless probing is set and a probe is due.
 func (p *Planner) targets(now time.Time, probing bool) HallCounts {
 	in := Inputs{Offer: p.offer, BusyServers: p.forecast.Peak(), ReclaimRate: p.reclaimRate(now)}
-	names := p.names()
+	names := p.hallNames()
 	for _, name := range names {
 		h := p.hall(name)
 		hall := Hall{Name: name, Price: p.offer.Prices[name], Ready: h.ready}
-		for k := range kinds {
-			hall.Unavailable[k] = h.refused[k] && !(probing && h.probeDue(k, now))
+		for k := range numKinds {
+			hall.Unavailable[k] = h.unavailable[k] && !(probing && h.probeDue(k, now))
 		}
 		in.Halls = append(in.Halls, hall)
 	}
 	var wanted Targets
 	switch {
-	case p.learned:
+	case p.loadKnown:
 		wanted = p.policy.Targets(in)
-	case p.adopted:
-		wanted = in.cheapest(p.found)
+	case p.adoptExisting:
+		wanted = in.cheapestTargets(p.discovered)
 	default:
 		return p.Ordered()
 	}
@@ -222,62 +220,62 @@
 	return targets
 }
 
-// reclaimRate is how many halls a second have their spot servers taken away.
+// reclaimRate estimates how many halls per second have their spot servers reclaimed.
 func (p *Planner) reclaimRate(now time.Time) float64 {
-	return (1 + float64(p.reclaims)) / (reclaimPrior + now.Sub(p.begun).Seconds())
+	return (1 + float64(p.reclaims)) / (reclaimPriorSeconds + now.Sub(p.startedAt).Seconds())
 }
 
-// probe asks for kinds again that could not be had a while ago.
+// probe requests unavailable kinds again whose probe interval has passed.
 func (p *Planner) probe(now time.Time) []Order {
 	var orders []Order
 	var targets HallCounts
-	for _, name := range p.names() {
+	for _, name := range p.hallNames() {
 		h := p.hall(name)
-		for k := range kinds {
+		for k := range numKinds {
 			if !h.probeDue(k, now) {
 				continue
 			}
 			if targets == nil {
 				targets = p.targets(now, true)
 			}
-			h.probed[k] = now
-			if wanted := p.within(name, k, targets); wanted > p.ordered[name][k] {
-				// An order that is taken ends the refusal; one that is not begins it anew.
-				h.refused[k], h.grown[k] = false, now
-				orders = append(orders, p.order(name, k, wanted))
+			h.lastProbe[k] = now
+			if wanted := p.wantedWithinLimit(name, k, targets); wanted > p.ordered[name][k] {
+				// The kind counts as available again unless this order is refused too.
+				h.unavailable[k], h.lastGrown[k] = false, now
+				orders = append(orders, p.recordOrder(name, k, wanted))
 			}
 		}
 	}
 	return orders
 }
 
-// within is how many servers of a kind are wanted in a hall, as far as there is room beside
-// those of the other kind.
-func (p *Planner) within(hall string, k Kind, targets HallCounts) int {
+// wantedWithinLimit returns the target of a kind in a hall, capped by the capacity that the other
+// kind leaves.
+func (p *Planner) wantedWithinLimit(hall string, k Kind, targets HallCounts) int {
 	return min(targets[hall][k], p.offer.MaxServers-p.ordered[hall][1-k])
 }
 
-// least is the least change of a number that is ordered.
-func least(ordered int) int { return int(stepShare*float64(ordered)) + 1 }
+// minStep returns the smallest change to an ordered count that is worth an order.
+func minStep(ordered int) int { return int(minStepShare*float64(ordered)) + 1 }
 
-// grow orders more where more are wanted.
-func (p *Planner) grow(targets HallCounts, now time.Time) []Order {
+// scaleUp orders more servers where the targets exceed the ordered counts.
+func (p *Planner) scaleUp(targets HallCounts, now time.Time) []Order {
 	var orders []Order
-	for _, name := range p.names() {
+	for _, name := range p.hallNames() {
 		h := p.hall(name)
-		for k := range kinds {
-			wanted, ordered := p.within(name, k, targets), p.ordered[name][k]
-			if !h.refused[k] && wanted-ordered >= least(ordered) {
-				h.grown[k] = now
-				orders = append(orders, p.order(name, k, wanted))
+		for k := range numKinds {
+			wanted, ordered := p.wantedWithinLimit(name, k, targets), p.ordered[name][k]
+			if !h.unavailable[k] && wanted-ordered >= minStep(ordered) {
+				h.lastGrown[k] = now
+				orders = append(orders, p.recordOrder(name, k, wanted))
 			}
 		}
 	}
 	return orders
 }
 
-// order notes a number as ordered.
-func (p *Planner) order(hall string, k Kind, count int) Order {
+// recordOrder updates the ordered count and returns the order.
+func (p *Planner) recordOrder(hall string, k Kind, count int) Order {
 	ordered := p.ordered[hall]
 	o := Order{Service: p.service, Hall: hall, Kind: k, Count: count, Previous: ordered[k]}
 	ordered[k] = count
--- a/pkg/autoscale/service.go
+++ b/pkg/autoscale/service.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Kind is how a server is paid.
+// Kind is the purchase model of a server.
 type Kind int
 
-// Kinds of servers.
+// Purchase models.
 const (
 	OnDemand Kind = iota
 	Spot
-	kinds
+	numKinds
 )
 
 // String implements fmt.Stringer.
 func (k Kind) String() string { return [...]string{"on demand", "spot"}[k] }
 
-// PerKind holds a number for each kind.
-type PerKind [kinds]int
+// PerKind holds a count for each kind.
+type PerKind [numKinds]int
 
-// Sum is the number of both kinds.
+// Sum returns the count of both kinds.
 func (p PerKind) Sum() int { return p[OnDemand] + p[Spot] }
 
-// Offer is what can be ordered for a service.
+// Offer describes the servers that can be ordered for a service.
 type Offer struct {
-	// MinServers and MaxServers bound the servers of both kinds in each hall.
+	// MinServers and MaxServers limit the number of servers of both kinds in each hall.
 	MinServers, MaxServers int
-	// Boot is the time until an ordered server serves.
+	// Boot is the time from an order until the server serves.
 	Boot time.Duration
-	// SpotPrice is that of a spot server, as a share of one on demand; zero if there are
-	// none.
+	// SpotPrice is the price of a spot server relative to an on-demand one; zero if there are no
+	// spot servers.
 	SpotPrice float64
-	// Prices are those of a server on demand by hall, for each second.
+	// Prices holds the price per second of an on-demand server by hall.
 	Prices map[string]float64
 }
 
-// Server is one that is listed.
+// Server is a listed server.
 type Server struct {
 	Hall    string
 	Kind    Kind
 	Leaving bool
 }
 
-// Load is what is asked of a service.
+// Load is the demand for a service.
 type Load struct {
-	// BusyServers is how many servers would be busy all the time with it.
+	// BusyServers is the number of servers that the load would keep fully busy.
 	BusyServers float64
-	// Known tells that it could be worked out: of a new service, what a server can do is
-	// not known.
+	// Known is false while the load cannot be computed, as for a new service whose servers have an
+	// unknown capacity.
 	Known bool
-	// PrefillRate is the tokens a second that a server was taken to prefill, for the logs.
+	// PrefillRate is the assumed prefill speed of a server in tokens per second, for logs.
 	PrefillRate float64
 }
 
@@ -58,6 +58,6 @@
 	Hall    string
 	Kind    Kind
 	Count   int
-	// Previous is the number that was ordered until now.
+	// Previous is the count ordered before.
 	Previous int
 }
