--- a/pkg/lease/announce.go
+++ b/pkg/lease/announce.go
@@ -8,46 +8,46 @@
 	"headhill.example/headhill/pkg/lease/leasepb"
 )
 
-// kind marks the datagrams of this package.
-const kind = "lease"
+// datagramKind is the kind of lease announcements.
+const datagramKind = "lease"
 
-// fence is this box's own, zero if it does not hold the lease.
-func (k *Manager) fence() uint64 {
-	h, _ := k.Holding()
+// heldFence returns the fencing token of this box, or zero if it does not hold the lease.
+func (m *Manager) heldFence() uint64 {
+	h, _ := m.Holding()
 	return h.Fence
 }
 
-// tell tells the other boxes of a record.
-func (k *Manager) tell(s VersionedRecord) {
-	m := &leasepb.Lease{Holder: s.Holder, Incarnation: s.Incarnation, Fence: s.Fence, Revision: s.Revision}
-	if s.Holder == k.Box {
-		m.Fence, m.Told = max(s.Fence, k.fence()), k.Announcement()
+// announce sends a record to the other boxes.
+func (m *Manager) announce(s VersionedRecord) {
+	msg := &leasepb.Lease{Holder: s.Holder, Incarnation: s.Incarnation, Fence: s.Fence, Revision: s.Revision}
+	if s.Holder == m.Box {
+		msg.Fence, msg.Told = max(s.Fence, m.heldFence()), m.Announcement()
 	}
-	body, err := proto.Marshal(m)
-	if err != nil || !k.Port.Send(kind, body, k.Peers()...) {
-		_ = level.Warn(k.Logger).Log("msg", "lease not told", "err", err, "bytes", len(body), "outcome", "others read it")
+	body, err := proto.Marshal(msg)
+	if err != nil || !m.Port.Send(datagramKind, body, m.Peers()...) {
+		_ = level.Warn(m.Logger).Log("msg", "could not announce lease record", "err", err, "bytes", len(body), "outcome", "peers read it from the store")
 	}
 }
 
-// hear takes a datagram in.
-func (k *Manager) hear(d datagram.Message) {
-	m := &leasepb.Lease{}
-	if err := proto.Unmarshal(d.Body, m); err != nil {
-		_ = level.Debug(k.Logger).Log("msg", "lease message dropped", "from", d.Box, "err", err)
+// handleAnnouncement processes an announcement of another box.
+func (m *Manager) handleAnnouncement(d datagram.Message) {
+	msg := &leasepb.Lease{}
+	if err := proto.Unmarshal(d.Body, msg); err != nil {
+		_ = level.Debug(m.Logger).Log("msg", "dropped malformed lease announcement", "from", d.Box, "err", err)
 		return
 	}
-	s := VersionedRecord{Revision: m.GetRevision(), Record: Record{Holder: m.GetHolder(), Incarnation: m.GetIncarnation(), Fence: m.GetFence()}}
-	k.mu.Lock()
-	before := k.elector.Latest().Holder
-	k.elector.ObserveAnnounced(s, d.Received)
-	changed := before != k.elector.Latest().Holder
-	k.mu.Unlock()
-	if d.Box == m.GetHolder() && len(m.GetTold()) > 0 {
-		k.OnAnnouncement(m.GetTold(), d.Received)
+	s := VersionedRecord{Revision: msg.GetRevision(), Record: Record{Holder: msg.GetHolder(), Incarnation: msg.GetIncarnation(), Fence: msg.GetFence()}}
+	m.mu.Lock()
+	previous := m.elector.Latest().Holder
+	m.elector.ObserveAnnounced(s, d.Received)
+	changed := previous != m.elector.Latest().Holder
+	m.mu.Unlock()
+	if d.Box == msg.GetHolder() && len(msg.GetTold()) > 0 {
+		m.OnAnnouncement(msg.GetTold(), d.Received)
 	}
 	if changed {
-		k.OnHolderChange(s.Holder)
-		_ = level.Debug(k.Logger).Log("msg", "lease heard", "holder", s.Holder, "fence", s.Fence, "revision", s.Revision)
-		k.Wake()
+		m.OnHolderChange(s.Holder)
+		_ = level.Debug(m.Logger).Log("msg", "lease holder changed", "holder", s.Holder, "fence", s.Fence, "revision", s.Revision)
+		m.Wake()
 	}
 }
--- a/pkg/lease/elector.go
+++ b/pkg/lease/elector.go
@@ -2,181 +2,182 @@
 
 import "time"
 
-// Elector decides for one box when to look at the lease, to take it and to renew it. It
-// does nothing by itself: what was read, written and heard is told to it with the time.
+// Elector is the state machine that decides when a box reads, acquires and renews the lease. It
+// performs no I/O: results of reads and writes and announcements are passed to it with their time.
 type Elector struct {
 	box         string
 	incarnation uint64
 	timing      Timing
 
-	// seen is the newest record known, seenAt when this box first knew it. Of a record
-	// that was only heard of, state is not known.
-	seen      VersionedRecord
-	seenAt    time.Time
-	stateSeen bool
-	// started is when the process started, read tells that the record, or that there is
-	// none, is known.
-	started time.Time
-	read    bool
-	// fence is the revision at which this box took the lease, until is how long it may act
-	// on it; lost is when it may last have acted.
-	fence uint64
-	until time.Time
-	lost  time.Time
-}
-
-// NewElector returns the elector of a process that starts now. Its box may have held the
-// lease until a moment ago.
+	// latest is the record with the highest revision known, latestSince is when this box first
+	// observed it. stateKnown is false for records that were only announced, as announcements omit
+	// the state.
+	latest      VersionedRecord
+	latestSince time.Time
+	stateKnown  bool
+	// recordKnown is set once the record, or its absence, is known.
+	startedAt   time.Time
+	recordKnown bool
+	// fence is the revision at which this box acquired the lease, or zero; heldUntil is how long it
+	// may use the lease. lostAt is when this box may last have made a call as the holder.
+	fence     uint64
+	heldUntil time.Time
+	lostAt    time.Time
+}
+
+// NewElector returns the elector of a process that starts now. It assumes that an earlier process
+// of the box may have held the lease until now.
 func NewElector(box string, incarnation uint64, timing Timing, now time.Time) *Elector {
-	return &Elector{box: box, incarnation: incarnation, timing: timing, started: now, lost: now}
+	return &Elector{box: box, incarnation: incarnation, timing: timing, startedAt: now, lostAt: now}
 }
 
-// Latest is the newest record known.
-func (e *Elector) Latest() VersionedRecord { return e.seen }
+// Latest returns the newest known record.
+func (e *Elector) Latest() VersionedRecord { return e.latest }
 
-// Holding returns this box's fence and how long it may act, if it holds the lease now.
+// Holding returns the fencing token of this box and how long the lease is valid. It returns false
+// if this box does not hold the lease.
 func (e *Elector) Holding(now time.Time) (fence uint64, until time.Time, ok bool) {
-	return e.fence, e.until, e.fence > 0 && now.Before(e.until)
+	return e.fence, e.heldUntil, e.fence > 0 && now.Before(e.heldUntil)
 }
 
-// mine tells whether the newest record is of this process.
-func (e *Elector) mine() bool {
-	return e.seen.Revision > 0 && e.seen.Holder == e.box && e.seen.Incarnation == e.incarnation
+// ownsLatest reports whether the newest record was written by this process.
+func (e *Elector) ownsLatest() bool {
+	return e.latest.Revision > 0 && e.latest.Holder == e.box && e.latest.Incarnation == e.incarnation
 }
 
-// ObserveRead takes in a record that was read.
+// ObserveRead processes a record that was read from the store.
 func (e *Elector) ObserveRead(s VersionedRecord, now time.Time) {
-	if !e.read {
-		e.read, e.seenAt = true, now
+	if !e.recordKnown {
+		e.recordKnown, e.latestSince = true, now
 	}
-	if s.Revision < e.seen.Revision {
+	if s.Revision < e.latest.Revision {
 		return
 	}
-	e.note(s, true, now)
+	e.update(s, true, now)
 }
 
-// ObserveAnnounced takes in what another box tells of the record: all but its state.
+// ObserveAnnounced processes a record that was announced by another box. It lacks the state.
 func (e *Elector) ObserveAnnounced(s VersionedRecord, now time.Time) {
-	if s.Revision <= e.seen.Revision {
+	if s.Revision <= e.latest.Revision {
 		return
 	}
-	e.read = true
-	e.note(s, false, now)
+	e.recordKnown = true
+	e.update(s, false, now)
 }
 
-func (e *Elector) note(s VersionedRecord, whole bool, now time.Time) {
-	if s.Revision > e.seen.Revision {
-		e.seenAt = now
-		e.stateSeen = false
+func (e *Elector) update(s VersionedRecord, withState bool, now time.Time) {
+	if s.Revision > e.latest.Revision {
+		e.latestSince = now
+		e.stateKnown = false
 	}
-	e.seen = s
-	e.stateSeen = e.stateSeen || whole
-	if e.fence > 0 && !e.mine() {
-		e.lose(now)
+	e.latest = s
+	e.stateKnown = e.stateKnown || withState
+	if e.fence > 0 && !e.ownsLatest() {
+		e.endHolding(now)
 	}
 }
 
-// lose ends this box's holding.
-func (e *Elector) lose(now time.Time) {
+// endHolding records that this box no longer holds the lease.
+func (e *Elector) endHolding(now time.Time) {
 	e.fence = 0
-	e.lost = later(e.lost, earlier(e.until, now))
+	e.lostAt = later(e.lostAt, earlier(e.heldUntil, now))
 }
 
-// Step is what to do next.
+// Step is the next action of a box.
 type Step int
 
 // Steps.
 const (
-	// StepWait: nothing until the time given.
+	// StepWait means to wait until the returned time.
 	StepWait Step = iota
-	// StepRead: read the record.
+	// StepRead means to read the record.
 	StepRead
-	// StepAcquire: write a record of this box over the one seen.
+	// StepAcquire means to replace the latest record by one that makes this box the holder.
 	StepAcquire
-	// StepRenew: write this box's record again.
+	// StepRenew means to write this box's record again.
 	StepRenew
 )
 
-// Next returns what to do, or when to ask again. The delay is added to the time after which
-// a lease that is not renewed is taken; it differs from box to box.
+// Next returns the next step and, for StepWait, when to ask again. The delay, which differs between
+// boxes, is added to the time after which an expired lease is acquired.
 func (e *Elector) Next(delay time.Duration, now time.Time) (Step, time.Time) {
-	if e.fence > 0 && e.mine() {
+	if e.fence > 0 && e.ownsLatest() {
 		return e.nextRenewal(now)
 	}
-	due := e.started.Add(delay)
-	if e.read {
-		due = e.takeAt(delay)
+	due := e.startedAt.Add(delay)
+	if e.recordKnown {
+		due = e.takeoverTime(delay)
 	}
 	switch {
 	case now.Before(due):
 		return StepWait, due
-	case !e.read || e.seen.Revision > 0 && !e.stateSeen:
+	case !e.recordKnown || e.latest.Revision > 0 && !e.stateKnown:
 		return StepRead, now
 	}
 	return StepAcquire, now
 }
 
 func (e *Elector) nextRenewal(now time.Time) (Step, time.Time) {
-	due := e.until.Add(e.timing.RenewInterval - e.timing.Validity)
+	due := e.heldUntil.Add(e.timing.RenewInterval - e.timing.Validity)
 	if now.Before(due) {
 		return StepWait, due
 	}
 	return StepRenew, now
 }
 
-// takeAt is when this box may take the lease.
-func (e *Elector) takeAt(delay time.Duration) time.Time {
+// takeoverTime returns when this box may acquire the lease.
+func (e *Elector) takeoverTime(delay time.Duration) time.Time {
 	switch {
-	case e.seen.Revision == 0:
-		// No box has ever held it.
-		return e.seenAt.Add(delay)
-	case e.seen.Holder == e.box:
-		// This box held it last, so that no other has called since.
-		return e.seenAt
-	case e.seen.Holder == "":
-		return later(e.seenAt.Add(delay), e.lost.Add(e.timing.Cooldown))
+	case e.latest.Revision == 0:
+		// The lease has never been held.
+		return e.latestSince.Add(delay)
+	case e.latest.Holder == e.box:
+		// This box was the last holder, so no other box has made calls since.
+		return e.latestSince
+	case e.latest.Holder == "":
+		return later(e.latestSince.Add(delay), e.lostAt.Add(e.timing.Cooldown))
 	}
-	return later(e.seenAt.Add(e.timing.TakeoverDelay+delay), e.lost.Add(e.timing.Cooldown))
+	return later(e.latestSince.Add(e.timing.TakeoverDelay+delay), e.lostAt.Add(e.timing.Cooldown))
 }
 
-// AcquireRecord is the record that this box writes to take the lease.
+// AcquireRecord returns the record that acquires the lease.
 func (e *Elector) AcquireRecord() Record {
-	r := e.seen.Record
+	r := e.latest.Record
 	r.Holder, r.Incarnation, r.Fence = e.box, e.incarnation, 0
 	r.Renewals++
 	return r
 }
 
-// RenewRecord is the record that this box writes to keep the lease.
+// RenewRecord returns the record that renews the lease.
 func (e *Elector) RenewRecord(state []byte) Record {
-	r := e.seen.Record
+	r := e.latest.Record
 	r.Fence, r.State = e.fence, state
 	r.Renewals++
 	return r
 }
 
-// ReleaseRecord is the record that this box writes to give the lease up.
+// ReleaseRecord returns the record that releases the lease.
 func (e *Elector) ReleaseRecord(state []byte) Record {
 	r := e.RenewRecord(state)
 	r.Holder, r.Incarnation, r.Fence = "", 0, 0
 	return r
 }
 
-// Acquired notes that this box's taking was written. The time is from before it was sent.
+// Acquired records that AcquireRecord was written. sent is the time before the write was sent.
 func (e *Elector) Acquired(s VersionedRecord, sent, now time.Time) {
-	e.note(s, true, now)
+	e.update(s, true, now)
 	e.fence = s.Revision
-	e.until = sent.Add(e.timing.Validity)
+	e.heldUntil = sent.Add(e.timing.Validity)
 }
 
-// Renewed notes that this box's renewal was written.
+// Renewed records that RenewRecord was written. sent is the time before the write was sent.
 func (e *Elector) Renewed(s VersionedRecord, sent, now time.Time) {
-	e.note(s, true, now)
-	e.until = later(e.until, sent.Add(e.timing.Validity))
+	e.update(s, true, now)
+	e.heldUntil = later(e.heldUntil, sent.Add(e.timing.Validity))
 }
 
-// Released notes that this box has given the lease up, or is about to.
-func (e *Elector) Released(now time.Time) { e.lose(now) }
+// Released records that this box has released the lease or is about to.
+func (e *Elector) Released(now time.Time) { e.endHolding(now) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/pkg/lease/histories_test.go
+++ b/pkg/lease/histories_test.go
@@ -6,79 +6,79 @@
 	"time"
 )
 
-// length is that of the lease in the histories, thaw how long after its sender woke, or its
-// link healed, a call may arrive late.
+// leaseDuration is the duration of the simulated lease. lateCallAllowance is how long after its
+// sender woke, or its link was restored, a call may arrive late.
 const (
-	length = 3 * time.Second
-	thaw   = 300 * time.Millisecond
+	leaseDuration     = 3 * time.Second
+	lateCallAllowance = 300 * time.Millisecond
 )
 
-// history plays boxes, a store and a cloud in played time. Each box steps its elector as the
-// keeper does, and calls the cloud whenever it holds the lease.
-type history struct {
+// simulation simulates boxes, a store and a cloud. Each box drives its elector as Manager does, and
+// calls the cloud while it holds the lease.
+type simulation struct {
 	random *rand.Rand
 	now    time.Time
 	timing Timing
-	boxes  []*playedBox
-	store  playedStore
+	boxes  []*simulatedBox
+	store  simulatedStore
 	calls  []cloudCall
-	// storeDown is until when the store answers nobody.
-	storeDown time.Time
-	// calm tells that no answer is lost.
-	calm bool
-	// lossy tells that a third of all datagrams between boxes is lost.
-	lossy bool
-	// suspends adds suspended machines to the troubles; steady lets boxes go by a clock that
-	// stands still meanwhile.
-	suspends bool
-	steady   bool
+	// storeDownUntil is when a store outage ends.
+	storeDownUntil time.Time
+	// noLostAnswers disables the random loss of store answers.
+	noLostAnswers bool
+	// datagramLoss drops a third of the datagrams between boxes.
+	datagramLoss bool
+	// suspendMachines adds suspended machines to the faults. With monotonicClock the clocks of
+	// boxes do not advance during a suspension.
+	suspendMachines bool
+	monotonicClock  bool
 }
 
-type playedStore struct {
+type simulatedStore struct {
 	stored VersionedRecord
-	// late are writes that are done, if their condition still holds, at a time.
-	late []lateWrite
+	// delayedWrites are executed later, if the revision still matches.
+	delayedWrites []delayedWrite
 }
 
-type lateWrite struct {
+type delayedWrite struct {
 	at       time.Time
 	record   Record
 	revision uint64
 }
 
-// cloudCall is a call as the cloud saw it.
+// cloudCall is a call received by the cloud.
 type cloudCall struct {
 	at    time.Time
 	box   string
 	fence uint64
-	// excused calls came just after their sender woke or its link healed.
+	// excused calls arrived within lateCallAllowance.
 	excused bool
 }
 
-type playedBox struct {
+type simulatedBox struct {
 	name        string
 	incarnation uint64
 	elector     *Elector
 	dead        bool
-	// frozen, cutStore, cutPeers and cutCloud are until when it stands still, or can't reach
-	// the store, the other boxes or the cloud.
-	frozen, cutStore, cutPeers, cutCloud time.Time
-	// lost is how far the box's clock is behind.
-	lost time.Duration
-	// pending is the call to the store that is under way.
+	// frozenUntil is when the box resumes, the others are when it can reach the store, its peers
+	// and the cloud again.
+	frozenUntil, storeCutUntil, peersCutUntil, cloudCutUntil time.Time
+	// clockLag is how far the clock of the box is behind.
+	clockLag time.Duration
+	// pending is the store call in flight.
 	pending *pendingCall
-	// checked is a call whose lease was checked and that is not sent yet.
-	checked   uint64
-	nextCall  time.Time
-	retryAt   time.Time
-	stopped   bool
-	deadUntil time.Time
+	// checkedFence is the fence of a call that is not sent yet though the lease was checked for it.
+	checkedFence uint64
+	nextCall     time.Time
+	retryAt      time.Time
+	stopped      bool
+	deadUntil    time.Time
 }
 
 type pendingCall struct {
 	step      Step
-	sent      time.Time
-	done      time.Time
+	sentAt    time.Time
+	doneAt    time.Time
 	answered  bool
 	result    VersionedRecord
 	conflict  bool
@@ -87,102 +87,101 @@
 	revision  uint64
 }
 
-func newHistory(seed uint64, boxes int, timing Timing) *history {
-	h := &history{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_700_000_000, 0), timing: timing}
+func newSimulation(seed uint64, boxes int, timing Timing) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_700_000_000, 0), timing: timing}
 	for i := range boxes {
-		b := &playedBox{name: fmt.Sprintf("box-%d", i)}
-		h.boxes = append(h.boxes, b)
-		h.startBox(b)
+		b := &simulatedBox{name: fmt.Sprintf("box-%d", i)}
+		sim.boxes = append(sim.boxes, b)
+		sim.startBox(b)
 	}
-	return h
+	return sim
 }
 
-func (h *history) startBox(b *playedBox) {
-	b.incarnation = h.random.Uint64()
-	b.elector = NewElector(b.name, b.incarnation, h.timing, h.elapsed(b))
-	b.dead, b.stopped, b.pending, b.checked = false, false, nil, 0
+func (sim *simulation) startBox(b *simulatedBox) {
+	b.incarnation = sim.random.Uint64()
+	b.elector = NewElector(b.name, b.incarnation, sim.timing, sim.elapsed(b))
+	b.dead, b.stopped, b.pending, b.checkedFence = false, false, nil, 0
 }
 
-// elapsed is the time by a box's clock.
-func (h *history) elapsed(b *playedBox) time.Time { return h.now.Add(-b.lost) }
+// elapsed returns the time of the box's clock.
+func (sim *simulation) elapsed(b *simulatedBox) time.Time { return sim.now.Add(-b.clockLag) }
 
-// suspend lets a box's machine stand still, and its steady clock with it.
-func (h *history) suspend(b *playedBox, d time.Duration) {
-	if h.now.Before(b.frozen) {
+// suspend suspends the machine of a box, and with monotonicClock its clock.
+func (sim *simulation) suspend(b *simulatedBox, d time.Duration) {
+	if sim.now.Before(b.frozenUntil) {
 		return
 	}
-	b.frozen = h.now.Add(d)
-	if h.steady {
-		b.lost += d
+	b.frozenUntil = sim.now.Add(d)
+	if sim.monotonicClock {
+		b.clockLag += d
 	}
 }
 
-// lateMost is how late a write may be done whose answer did not come.
-const lateMost = 6 * time.Second
+// maxWriteDelay is how late an unanswered write may take effect.
+const maxWriteDelay = 6 * time.Second
 
-// tickTime is the grain of played time.
-const tickTime = 10 * time.Millisecond
+const tickInterval = 10 * time.Millisecond
 
-func (h *history) play(d time.Duration, trouble func()) {
-	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(tickTime) {
-		if trouble != nil {
-			trouble()
+func (sim *simulation) run(d time.Duration, fault func()) {
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(tickInterval) {
+		if fault != nil {
+			fault()
 		}
-		h.applyLate()
-		for i, b := range h.boxes {
-			h.step(b, i)
+		sim.applyDelayedWrites()
+		for i, b := range sim.boxes {
+			sim.step(b, i)
 		}
 	}
 }
 
-func (h *history) applyLate() {
-	var left []lateWrite
-	for _, w := range h.store.late {
-		if h.now.Before(w.at) {
+func (sim *simulation) applyDelayedWrites() {
+	var left []delayedWrite
+	for _, w := range sim.store.delayedWrites {
+		if sim.now.Before(w.at) {
 			left = append(left, w)
 			continue
 		}
-		h.write(w.record, w.revision)
+		sim.write(w.record, w.revision)
 	}
-	h.store.late = left
+	sim.store.delayedWrites = left
 }
 
-// write is a conditional write at the store.
-func (h *history) write(r Record, revision uint64) bool {
-	if h.store.stored.Revision != revision {
+// write performs a conditional write.
+func (sim *simulation) write(r Record, revision uint64) bool {
+	if sim.store.stored.Revision != revision {
 		return false
 	}
-	h.store.stored = VersionedRecord{Record: r, Revision: revision + 1 + uint64(h.random.IntN(5))}
+	sim.store.stored = VersionedRecord{Record: r, Revision: revision + 1 + uint64(sim.random.IntN(5))}
 	return true
 }
 
-func (h *history) step(b *playedBox, rank int) {
+func (sim *simulation) step(b *simulatedBox, rank int) {
 	if b.dead {
-		if h.now.After(b.deadUntil) {
-			h.startBox(b)
+		if sim.now.After(b.deadUntil) {
+			sim.startBox(b)
 		}
 		return
 	}
-	if h.now.Before(b.frozen) {
+	if sim.now.Before(b.frozenUntil) {
 		return
 	}
-	h.callCloud(b)
+	sim.callCloud(b)
 	if b.pending != nil {
-		h.finish(b)
+		sim.advancePending(b)
 		return
 	}
-	if b.stopped || h.now.Before(b.retryAt) {
+	if b.stopped || sim.now.Before(b.retryAt) {
 		return
 	}
-	step, _ := b.elector.Next(rankDelay*time.Duration(rank), h.elapsed(b))
+	step, _ := b.elector.Next(rankDelay*time.Duration(rank), sim.elapsed(b))
 	if step != StepWait {
-		h.submit(b, step)
+		sim.submit(b, step)
 	}
 }
 
-// submit sends a call to the store. It is done some milliseconds later, if it gets there.
-func (h *history) submit(b *playedBox, step Step) {
-	p := &pendingCall{step: step, sent: h.elapsed(b), done: h.now.Add(time.Duration(1+h.random.IntN(5)) * tickTime), revision: b.elector.Latest().Revision}
+// submit sends a call to the store, which executes it some milliseconds later if it is reachable.
+func (sim *simulation) submit(b *simulatedBox, step Step) {
+	p := &pendingCall{step: step, sentAt: sim.elapsed(b), doneAt: sim.now.Add(time.Duration(1+sim.random.IntN(5)) * tickInterval), revision: b.elector.Latest().Revision}
 	switch step {
 	case StepAcquire:
 		p.record = b.elector.AcquireRecord()
@@ -192,183 +191,183 @@
 	b.pending = p
 }
 
-func (h *history) finish(b *playedBox) {
+func (sim *simulation) advancePending(b *simulatedBox) {
 	p := b.pending
-	if !p.submitted && !h.now.Before(p.done) {
+	if !p.submitted && !sim.now.Before(p.doneAt) {
 		p.submitted = true
-		h.serve(b, p)
+		sim.execute(b, p)
 	}
 	if p.submitted && p.answered {
 		b.pending = nil
-		h.take(b, p)
+		sim.handleAnswer(b, p)
 		return
 	}
-	if h.elapsed(b).Sub(p.sent) > callMost {
+	if sim.elapsed(b).Sub(p.sentAt) > storeTimeout {
 		b.pending = nil
-		b.retryAt = h.now.Add(retryLeast)
+		b.retryAt = sim.now.Add(minRetryDelay)
 	}
 }
 
-// serve does a call at the store; its answer may be lost, and it may be done late.
-func (h *history) serve(b *playedBox, p *pendingCall) {
-	if h.now.Before(h.storeDown) || h.now.Before(b.cutStore) {
-		if p.step != StepRead && h.random.IntN(3) == 0 {
-			late := time.Duration(h.random.Int64N(int64(lateMost)))
-			h.store.late = append(h.store.late, lateWrite{at: h.now.Add(late), record: p.record, revision: p.revision})
+// execute executes a call at the store. Its answer may be lost, and a write may be delayed.
+func (sim *simulation) execute(b *simulatedBox, p *pendingCall) {
+	if sim.now.Before(sim.storeDownUntil) || sim.now.Before(b.storeCutUntil) {
+		if p.step != StepRead && sim.random.IntN(3) == 0 {
+			delay := time.Duration(sim.random.Int64N(int64(maxWriteDelay)))
+			sim.store.delayedWrites = append(sim.store.delayedWrites, delayedWrite{at: sim.now.Add(delay), record: p.record, revision: p.revision})
 		}
 		return
 	}
-	lost := !h.calm && h.random.IntN(20) == 0
+	answerLost := !sim.noLostAnswers && sim.random.IntN(20) == 0
 	if p.step == StepRead {
-		p.result, p.answered = h.store.stored, !lost
+		p.result, p.answered = sim.store.stored, !answerLost
 		return
 	}
-	if h.write(p.record, p.revision) {
-		p.result, p.answered = h.store.stored, !lost
+	if sim.write(p.record, p.revision) {
+		p.result, p.answered = sim.store.stored, !answerLost
 		return
 	}
-	p.conflict, p.result, p.answered = true, h.store.stored, !lost
+	p.conflict, p.result, p.answered = true, sim.store.stored, !answerLost
 }
 
-// take takes the store's answer in, as the keeper does.
-func (h *history) take(b *playedBox, p *pendingCall) {
+// handleAnswer passes the answer of the store to the elector, as Manager does.
+func (sim *simulation) handleAnswer(b *simulatedBox, p *pendingCall) {
 	switch {
 	case p.step == StepRead || p.conflict:
-		b.elector.ObserveRead(p.result, h.elapsed(b))
+		b.elector.ObserveRead(p.result, sim.elapsed(b))
 	case p.step == StepAcquire:
-		b.elector.Acquired(p.result, p.sent, h.elapsed(b))
-		h.tell(b, p.result)
+		b.elector.Acquired(p.result, p.sentAt, sim.elapsed(b))
+		sim.announce(b, p.result)
 	default:
-		b.elector.Renewed(p.result, p.sent, h.elapsed(b))
-		h.tell(b, p.result)
+		b.elector.Renewed(p.result, p.sentAt, sim.elapsed(b))
+		sim.announce(b, p.result)
 	}
 }
 
-func (h *history) tell(from *playedBox, s VersionedRecord) {
-	for _, b := range h.boxes {
-		cut := h.now.Before(from.cutPeers) || h.now.Before(b.cutPeers) || h.now.Before(b.frozen)
-		if b == from || b.dead || cut || h.lossy && h.random.IntN(3) == 0 {
+func (sim *simulation) announce(from *simulatedBox, s VersionedRecord) {
+	for _, b := range sim.boxes {
+		cut := sim.now.Before(from.peersCutUntil) || sim.now.Before(b.peersCutUntil) || sim.now.Before(b.frozenUntil)
+		if b == from || b.dead || cut || sim.datagramLoss && sim.random.IntN(3) == 0 {
 			continue
 		}
-		heard := s
-		heard.State = nil
-		b.elector.ObserveAnnounced(heard, h.elapsed(b))
+		announced := s
+		announced.State = nil
+		b.elector.ObserveAnnounced(announced, sim.elapsed(b))
 	}
 }
 
-// callCloud checks the lease, and calls on the next tick: a box may freeze in between.
-func (h *history) callCloud(b *playedBox) {
-	if b.checked > 0 {
-		fence := b.checked
-		b.checked = 0
-		if !h.now.Before(b.cutCloud) {
-			excused := h.now.Sub(b.frozen) < thaw || h.now.Sub(b.cutCloud) < thaw
-			h.calls = append(h.calls, cloudCall{at: h.now, box: b.name, fence: fence, excused: excused})
+// callCloud checks the lease and sends the call on the next tick, as a box may freeze in between.
+func (sim *simulation) callCloud(b *simulatedBox) {
+	if b.checkedFence > 0 {
+		fence := b.checkedFence
+		b.checkedFence = 0
+		if !sim.now.Before(b.cloudCutUntil) {
+			excused := sim.now.Sub(b.frozenUntil) < lateCallAllowance || sim.now.Sub(b.cloudCutUntil) < lateCallAllowance
+			sim.calls = append(sim.calls, cloudCall{at: sim.now, box: b.name, fence: fence, excused: excused})
 		}
 	}
-	fence, until, ok := b.elector.Holding(h.elapsed(b))
-	if ok && !b.stopped && until.Sub(h.elapsed(b)) > 5*tickTime && !h.now.Before(b.nextCall) {
-		b.checked = fence
-		b.nextCall = h.now.Add(time.Duration(1+h.random.IntN(20)) * tickTime)
+	fence, until, ok := b.elector.Holding(sim.elapsed(b))
+	if ok && !b.stopped && until.Sub(sim.elapsed(b)) > 5*tickInterval && !sim.now.Before(b.nextCall) {
+		b.checkedFence = fence
+		b.nextCall = sim.now.Add(time.Duration(1+sim.random.IntN(20)) * tickInterval)
 	}
 }
 
-// stop ends a box as planned: it hands over, and comes back.
-func (h *history) stop(b *playedBox) {
-	if _, _, ok := b.elector.Holding(h.elapsed(b)); ok && b.pending == nil {
+// stop shuts a box down gracefully: it releases the lease and restarts later.
+func (sim *simulation) stop(b *simulatedBox) {
+	if _, _, ok := b.elector.Holding(sim.elapsed(b)); ok && b.pending == nil {
 		r, revision := b.elector.ReleaseRecord(nil), b.elector.Latest().Revision
-		b.elector.Released(h.elapsed(b))
-		if !h.now.Before(b.cutStore) && !h.now.Before(h.storeDown) && h.write(r, revision) {
-			h.tell(b, h.store.stored)
+		b.elector.Released(sim.elapsed(b))
+		if !sim.now.Before(b.storeCutUntil) && !sim.now.Before(sim.storeDownUntil) && sim.write(r, revision) {
+			sim.announce(b, sim.store.stored)
 		}
 	}
-	h.kill(b, time.Second)
+	sim.kill(b, time.Second)
 }
 
-func (h *history) kill(b *playedBox, down time.Duration) {
-	b.dead, b.deadUntil = true, h.now.Add(down)
+func (sim *simulation) kill(b *simulatedBox, down time.Duration) {
+	b.dead, b.deadUntil = true, sim.now.Add(down)
 }
 
-// broken returns how the calls break a rule, "" if they do not.
-func (h *history) broken() string {
+// violation describes the first rule that the calls violate, or returns "".
+func (sim *simulation) violation() string {
 	highest, last := uint64(0), make(map[string]cloudCall)
 	holders := make(map[uint64]string)
 	var order []cloudCall
-	for _, c := range h.calls {
+	for _, c := range sim.calls {
 		if c.excused {
 			continue
 		}
 		if other, ok := holders[c.fence]; ok && other != c.box {
-			return fmt.Sprintf("%s and %s both have fence %d", other, c.box, c.fence)
+			return fmt.Sprintf("%s and %s both called with fence %d", other, c.box, c.fence)
 		}
 		holders[c.fence] = c.box
 		if c.fence < highest {
-			return fmt.Sprintf("%s calls with fence %d after %d", c.box, c.fence, highest)
+			return fmt.Sprintf("%s called with fence %d after %d", c.box, c.fence, highest)
 		}
 		highest = c.fence
-		if before, ok := last[c.box]; ok && c.at.Sub(before.at) < length {
+		if previous, ok := last[c.box]; ok && c.at.Sub(previous.at) < leaseDuration {
 			for _, o := range order {
-				if o.box != c.box && o.at.After(before.at) {
-					return fmt.Sprintf("%s, %s, %s within %s", c.box, o.box, c.box, c.at.Sub(before.at))
+				if o.box != c.box && o.at.After(previous.at) {
+					return fmt.Sprintf("calls by %s, %s and %s again within %s", c.box, o.box, c.box, c.at.Sub(previous.at))
 				}
 			}
 		}
 		last[c.box] = c
 		order = append(order, c)
-		for len(order) > 0 && c.at.Sub(order[0].at) > 2*length {
+		for len(order) > 0 && c.at.Sub(order[0].at) > 2*leaseDuration {
 			order = order[1:]
 		}
 	}
 	return ""
 }
 
-// troubles draws one trouble now and then.
-func (h *history) troubles(every int) func() {
+// randomFaults returns a function that injects a fault every meanTicks ticks on average.
+func (sim *simulation) randomFaults(meanTicks int) func() {
 	return func() {
-		if h.random.IntN(every) > 0 {
+		if sim.random.IntN(meanTicks) > 0 {
 			return
 		}
-		b := h.boxes[h.random.IntN(len(h.boxes))]
-		if h.random.IntN(2) == 0 {
-			for _, x := range h.boxes {
-				if _, _, ok := x.elector.Holding(h.elapsed(x)); ok && !x.dead {
+		b := sim.boxes[sim.random.IntN(len(sim.boxes))]
+		if sim.random.IntN(2) == 0 {
+			for _, x := range sim.boxes {
+				if _, _, ok := x.elector.Holding(sim.elapsed(x)); ok && !x.dead {
 					b = x
 				}
 			}
 		}
-		h.trouble(b)
+		sim.injectFault(b)
 	}
 }
 
-func (h *history) trouble(b *playedBox) {
-	d := time.Duration(100+h.random.IntN(6000)) * time.Millisecond
-	until := h.now.Add(d)
-	if h.suspends && h.random.IntN(3) == 0 {
-		h.suspend(b, time.Duration(500+h.random.IntN(59_500))*time.Millisecond)
+func (sim *simulation) injectFault(b *simulatedBox) {
+	d := time.Duration(100+sim.random.IntN(6000)) * time.Millisecond
+	until := sim.now.Add(d)
+	if sim.suspendMachines && sim.random.IntN(3) == 0 {
+		sim.suspend(b, time.Duration(500+sim.random.IntN(59_500))*time.Millisecond)
 		return
 	}
-	switch h.random.IntN(10) {
+	switch sim.random.IntN(10) {
 	case 0:
-		h.kill(b, time.Duration(h.random.IntN(3000))*time.Millisecond)
+		sim.kill(b, time.Duration(sim.random.IntN(3000))*time.Millisecond)
 	case 1:
-		b.frozen = until
+		b.frozenUntil = until
 	case 2:
-		b.cutStore = until
+		b.storeCutUntil = until
 	case 3:
-		b.cutPeers = until
+		b.peersCutUntil = until
 	case 4:
-		b.cutStore, b.cutPeers, b.cutCloud = until, until, until
+		b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil = until, until, until
 	case 5:
-		h.storeDown = until
+		sim.storeDownUntil = until
 	case 6:
-		h.stop(b)
+		sim.stop(b)
 	case 7:
-		h.lossy = !h.lossy
+		sim.datagramLoss = !sim.datagramLoss
 	case 8:
-		for _, x := range h.boxes {
-			h.kill(x, time.Duration(500+h.random.IntN(1000))*time.Millisecond)
+		for _, x := range sim.boxes {
+			sim.kill(x, time.Duration(500+sim.random.IntN(1000))*time.Millisecond)
 		}
 	case 9:
-		b.cutCloud = until
+		b.cloudCutUntil = until
 	}
 }
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,8 +1,7 @@
-// Package lease lets one box at a time hold the duties that the whole fleet has once.
-// The lease is an object in the store, written only under the condition that nobody
-// has written it since it was read. The revision at which a box took it is the fence
-// of its calls: the store never gives two takings the same, and later ones are
-// higher. All times are of the box's steady clock.
+// Package lease elects the one box that performs the duties of the fleet. The lease is a record in
+// the store that is only written conditionally on the revision last read. The revision at which a
+// box acquired the lease is the fencing token of its calls; it is unique and grows with each
+// acquisition. All times are elapsed times of package clock.
 package lease
 
 import (
@@ -11,68 +10,69 @@
 	"time"
 )
 
-// Record is what the store keeps of the lease.
+// Record is the stored lease.
 type Record struct {
-	// Holder is the box that holds the lease, "" where the last one handed it over.
+	// Holder is the box that holds the lease, or "" after a release.
 	Holder string `json:"holder"`
-	// Incarnation is that of the holder's process.
+	// Incarnation identifies the process of the holder.
 	Incarnation uint64 `json:"incarnation"`
-	// Fence is that of the holder, zero until its first renewal.
+	// Fence is the fencing token of the holder, zero until its first renewal.
 	Fence uint64 `json:"fence"`
 	// Renewals counts the writes, so that each one changes the record.
 	Renewals uint64 `json:"renewals"`
-	// State is what the duties hand on from holder to holder.
+	// State is the state of the duties that is passed from holder to holder.
 	State []byte `json:"state,omitempty"`
 }
 
-// VersionedRecord is a record and the revision at which the store has it; zero if it has none.
+// VersionedRecord is a record and its revision in the store, zero if there is no record.
 type VersionedRecord struct {
 	Record
 	Revision uint64
 }
 
-// Store keeps the record.
+// Store stores the record.
 type Store interface {
 	Read(ctx context.Context) (VersionedRecord, error)
-	// Write replaces the record of a revision; zero makes the first one. The error is a
-	// *ConflictError if the store has another one by now. After any other error the record
-	// may have been written, or may be some seconds later.
+	// Write replaces the record at the given revision, or creates it if the revision is zero. It
+	// returns a *ConflictError if the record has another revision. After any other error the write
+	// may have taken effect, or may do so seconds later.
 	Write(ctx context.Context, r Record, revision uint64) (VersionedRecord, error)
 }
 
-// ConflictError says that the record has changed since it was read.
+// ConflictError is returned if the record has changed since it was read.
 type ConflictError struct{ Revision uint64 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("the lease is not at revision %d any more: read it again", e.Revision)
+	return fmt.Sprintf("lease record is no longer at revision %d: read it again", e.Revision)
 }
 
-// Timing are the times of a lease, all derived from its length.
+// Timing holds the durations that govern a lease.
 type Timing struct {
-	// Validity is how long a holder trusts its lease, from before it sent the renewal.
+	// Validity is how long a holder may use the lease, counted from before it sent the renewal.
 	Validity time.Duration
-	// TakeoverDelay is how long others wait without a renewal before one takes the lease, from when
-	// they saw the last one.
+	// TakeoverDelay is how long other boxes wait after the last renewal they observed before one of
+	// them acquires the lease.
 	TakeoverDelay time.Duration
-	// Cooldown is how long a box stays out after it may have called as a holder, so that its calls
-	// never come after those of another one within the lease's length.
+	// Cooldown is how long a box must not acquire the lease after it may last have made a call as
+	// its holder, so that its calls are never interleaved with those of another holder within the
+	// duration of the lease.
 	Cooldown time.Duration
 	// RenewInterval is the time between renewals.
 	RenewInterval time.Duration
 }
 
 const (
-	// holdShare leaves a fifth of the length between the last call of a holder and the first
-	// one of the next: calls under way, and clocks that run unlike each other.
-	holdShare = 0.8
-	// restShare is a little more than the length.
-	restShare = 1.1
-	// renewShare lets two renewals in a row be lost.
-	renewShare = 0.26
+	// validityShare leaves a fifth of the duration between the last call of a holder and the first
+	// one of its successor, for calls in flight and clock drift.
+	validityShare = 0.8
+	// cooldownShare is slightly more than the duration.
+	cooldownShare = 1.1
+	// renewIntervalShare allows two consecutive renewals to fail.
+	renewIntervalShare = 0.26
 )
 
-// TimingFor returns the times of a lease of a length.
-func TimingFor(length time.Duration) Timing {
-	share := func(s float64) time.Duration { return time.Duration(s * float64(length)) }
-	return Timing{Validity: share(holdShare), TakeoverDelay: length, Cooldown: share(restShare), RenewInterval: share(renewShare)}
+// TimingFor returns the timing of a lease with the given duration.
+func TimingFor(duration time.Duration) Timing {
+	share := func(s float64) time.Duration { return time.Duration(s * float64(duration)) }
+	return Timing{Validity: share(validityShare), TakeoverDelay: duration, Cooldown: share(cooldownShare), RenewInterval: share(renewIntervalShare)}
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -11,183 +11,181 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens, in whatever order, the calls keep the rules, and once calm returns some
-// box holds the lease.
+// Under random faults calls are never made with an outdated fence, and once all faults have ended
+// exactly one box holds the lease.
 func TestDrawnHistoriesKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingFor(length))
-		h.play(40*time.Second, h.troubles(rapid.IntRange(20, 300).Draw(t, "every")))
-		require.Empty(t, h.broken())
-		h.calm, h.lossy, h.storeDown = true, false, h.now
-		for _, b := range h.boxes {
-			b.frozen, b.cutStore, b.cutPeers, b.cutCloud, b.deadUntil = h.now, h.now, h.now, h.now, h.now
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingFor(leaseDuration))
+		sim.run(40*time.Second, sim.randomFaults(rapid.IntRange(20, 300).Draw(t, "every")))
+		require.Empty(t, sim.violation())
+		sim.noLostAnswers, sim.datagramLoss, sim.storeDownUntil = true, false, sim.now
+		for _, b := range sim.boxes {
+			b.frozenUntil, b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil, b.deadUntil = sim.now, sim.now, sim.now, sim.now, sim.now
 		}
-		// A write may be done six seconds late; after it the lease is taken within a length
-		// and some places.
-		h.play(lateMost+2*takenSoon, nil)
-		require.Empty(t, h.broken())
+		// An unanswered write may take effect late; after it the lease is taken over once more.
+		sim.run(maxWriteDelay+2*maxTakeoverTime, nil)
+		require.Empty(t, sim.violation())
 		holding := 0
-		for _, b := range h.boxes {
-			if _, _, ok := b.elector.Holding(h.now); ok {
+		for _, b := range sim.boxes {
+			if _, _, ok := b.elector.Holding(sim.now); ok {
 				holding++
 			}
 		}
-		require.Equal(t, 1, holding, "one box holds the lease once all is calm")
+		require.Equal(t, 1, holding, "boxes that hold the lease after all faults have ended")
 	})
 }
 
-// The same histories break a rule where a mechanism is taken out, so that they would show it.
-// A holder whose machine was suspended for 0.5 to 60 s makes no call on a lease that is another
-// box's by now, at whichever step it stood still: its clock counts that time. The thaw that
-// excuses a call in flight is a tenth of the length.
+// A holder whose machine was suspended must not make calls under a lease that another box has
+// acquired meanwhile, as its clock includes the suspension.
 func TestSuspendedHoldersKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "boxes"), TimingFor(length))
-		h.suspends = true
-		h.play(3*time.Minute, h.troubles(400))
-		assert.Empty(t, h.broken())
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "boxes"), TimingFor(leaseDuration))
+		sim.suspendMachines = true
+		sim.run(3*time.Minute, sim.randomFaults(400))
+		assert.Empty(t, sim.violation())
 	})
 }
 
-// By a clock that stands still while the machine is suspended, holders call under old fences.
+// With clocks that stop during a suspension, the simulation must detect calls with outdated fences.
 func TestClockThatStandsStillBreaksTheRules(t *testing.T) {
-	broken := 0
+	violations := 0
 	for seed := range uint64(40) {
-		h := newHistory(seed, 4, TimingFor(length))
-		h.suspends, h.steady = true, true
-		h.play(3*time.Minute, h.troubles(400))
-		if h.broken() != "" {
-			broken++
+		sim := newSimulation(seed, 4, TimingFor(leaseDuration))
+		sim.suspendMachines, sim.monotonicClock = true, true
+		sim.run(3*time.Minute, sim.randomFaults(400))
+		if sim.violation() != "" {
+			violations++
 		}
 	}
-	t.Logf("%d of 40 histories broken", broken)
-	assert.Positive(t, broken)
+	t.Logf("%d of 40 simulations violated a rule", violations)
+	assert.Positive(t, violations)
 }
 
 func TestHistoriesShowEachMechanism(t *testing.T) {
 	for name, change := range map[string]func(*Timing){
-		"a holder trusts its lease too long":     func(x *Timing) { x.Validity = x.TakeoverDelay * 3 / 2 },
-		"others take it too soon":                func(x *Timing) { x.TakeoverDelay = x.Validity / 3 },
-		"who may have called does not stay away": func(x *Timing) { x.Cooldown = 0 },
+		"holder uses its lease beyond the takeover delay": func(x *Timing) { x.Validity = x.TakeoverDelay * 3 / 2 },
+		"takeover before the holder has given up":         func(x *Timing) { x.TakeoverDelay = x.Validity / 3 },
+		"no cooldown of a previous holder":                func(x *Timing) { x.Cooldown = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			timing := TimingFor(length)
+			timing := TimingFor(leaseDuration)
 			change(&timing)
 			for seed := range uint64(400) {
-				h := newHistory(seed, 4, timing)
-				h.play(40*time.Second, h.troubles(60))
-				if h.broken() != "" {
+				sim := newSimulation(seed, 4, timing)
+				sim.run(40*time.Second, sim.randomFaults(60))
+				if sim.violation() != "" {
 					return
 				}
 			}
-			t.Error("no history broke a rule")
+			t.Error("no simulation violated a rule")
 		})
 	}
 }
 
-// holder is the box that holds the lease, nil if none does.
-func (h *history) holder() *playedBox {
-	for _, b := range h.boxes {
-		if _, _, ok := b.elector.Holding(h.now); ok && !b.dead && !b.stopped {
+// holder returns the box that holds the lease, or nil.
+func (sim *simulation) holder() *simulatedBox {
+	for _, b := range sim.boxes {
+		if _, _, ok := b.elector.Holding(sim.now); ok && !b.dead && !b.stopped {
 			return b
 		}
 	}
 	return nil
 }
 
-// takenWithin plays until another box than this one holds the lease.
-func (h *history) takenWithin(t *testing.T, before *playedBox, most time.Duration) {
+// requireTakeover runs the simulation until a box other than previous holds the lease.
+func (sim *simulation) requireTakeover(t *testing.T, previous *simulatedBox, limit time.Duration) {
 	t.Helper()
-	begun := h.now
-	for h.now.Sub(begun) < most {
-		h.play(tickTime, nil)
-		if now := h.holder(); now != nil && now != before {
+	startedAt := sim.now
+	for sim.now.Sub(startedAt) < limit {
+		sim.run(tickInterval, nil)
+		if now := sim.holder(); now != nil && now != previous {
 			return
 		}
 	}
-	require.Fail(t, "nobody took the lease", "within %s", most)
+	require.Fail(t, "no other box acquired the lease", "within %s", limit)
 }
 
-// takenSoon is the longest time until a lease is taken whose holder is lost: its length, the
-// places of the boxes before the taker, and two calls to the store.
-const takenSoon = length + time.Second
+// maxTakeoverTime bounds the takeover from a lost holder: the lease duration, the delays of the
+// lower ranks and two store calls.
+const maxTakeoverTime = leaseDuration + time.Second
 
 func TestLostHoldersAreReplaced(t *testing.T) {
-	for name, lose := range map[string]func(*history, *playedBox){
-		"killed": func(h *history, b *playedBox) { h.kill(b, time.Minute) },
-		"frozen": func(h *history, b *playedBox) { b.frozen = h.now.Add(time.Minute) },
-		"cut from all": func(h *history, b *playedBox) {
-			u := h.now.Add(time.Minute)
-			b.cutStore, b.cutPeers, b.cutCloud = u, u, u
+	for name, fail := range map[string]func(*simulation, *simulatedBox){
+		"killed": func(sim *simulation, b *simulatedBox) { sim.kill(b, time.Minute) },
+		"frozen": func(sim *simulation, b *simulatedBox) { b.frozenUntil = sim.now.Add(time.Minute) },
+		"isolated from store, peers and cloud": func(sim *simulation, b *simulatedBox) {
+			u := sim.now.Add(time.Minute)
+			b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil = u, u, u
 		},
-		"refused by the store alone": func(h *history, b *playedBox) { b.cutStore = h.now.Add(time.Minute) },
-		"killed with half of the rest": func(h *history, b *playedBox) {
-			h.kill(b, time.Minute)
-			h.kill(h.boxes[1], time.Minute)
-			h.kill(h.boxes[2], time.Minute)
+		"isolated from the store only": func(sim *simulation, b *simulatedBox) { b.storeCutUntil = sim.now.Add(time.Minute) },
+		"killed together with two other boxes": func(sim *simulation, b *simulatedBox) {
+			sim.kill(b, time.Minute)
+			sim.kill(sim.boxes[1], time.Minute)
+			sim.kill(sim.boxes[2], time.Minute)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHistory(3, 6, TimingFor(length))
-			h.play(2*time.Second, nil)
-			before := h.holder()
-			require.NotNil(t, before)
-			lose(h, before)
-			h.takenWithin(t, before, takenSoon)
-			h.play(10*time.Second, nil)
-			assert.Empty(t, h.broken())
+			sim := newSimulation(3, 6, TimingFor(leaseDuration))
+			sim.run(2*time.Second, nil)
+			previous := sim.holder()
+			require.NotNil(t, previous)
+			fail(sim, previous)
+			sim.requireTakeover(t, previous, maxTakeoverTime)
+			sim.run(10*time.Second, nil)
+			assert.Empty(t, sim.violation())
 		})
 	}
 }
 
-func TestPlannedStopHandsOverAtOnce(t *testing.T) {
-	h := newHistory(5, 6, TimingFor(length))
-	h.play(2*length, nil)
-	before := h.holder()
-	require.NotNil(t, before)
-	h.stop(before)
-	h.takenWithin(t, before, 600*time.Millisecond)
-	h.play(10*time.Second, nil)
-	assert.Empty(t, h.broken())
+func TestPlannedStopReleasesLease(t *testing.T) {
+	sim := newSimulation(5, 6, TimingFor(leaseDuration))
+	sim.run(2*leaseDuration, nil)
+	previous := sim.holder()
+	require.NotNil(t, previous)
+	sim.stop(previous)
+	sim.requireTakeover(t, previous, 600*time.Millisecond)
+	sim.run(10*time.Second, nil)
+	assert.Empty(t, sim.violation())
 }
 
-// A box that was frozen or cut finds its lease gone before it calls.
-func TestFrozenHolderDoesNotCallAgain(t *testing.T) {
-	h := newHistory(6, 4, TimingFor(length))
-	h.play(2*time.Second, nil)
-	before := h.holder()
-	require.NotNil(t, before)
-	before.frozen = h.now.Add(8 * time.Second)
-	h.play(8*time.Second+50*time.Millisecond, nil)
-	_, _, ok := before.elector.Holding(h.now)
+// A box that was frozen finds its lease expired before it makes a call.
+func TestFrozenHolderLosesLease(t *testing.T) {
+	sim := newSimulation(6, 4, TimingFor(leaseDuration))
+	sim.run(2*time.Second, nil)
+	previous := sim.holder()
+	require.NotNil(t, previous)
+	previous.frozenUntil = sim.now.Add(8 * time.Second)
+	sim.run(8*time.Second+50*time.Millisecond, nil)
+	_, _, ok := previous.elector.Holding(sim.now)
 	assert.False(t, ok)
-	h.play(5*time.Second, nil)
-	assert.Empty(t, h.broken())
+	sim.run(5*time.Second, nil)
+	assert.Empty(t, sim.violation())
 }
 
-// A renewal that was done and not answered leaves the record as this box's own: it goes on.
-func TestRenewalWithoutAnswerIsFoundOut(t *testing.T) {
+// A holder whose renewal took effect without an answer keeps its lease and fence.
+func TestUnansweredRenewalIsRecovered(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("a", 1, TimingFor(length), now)
+	e := NewElector("a", 1, TimingFor(leaseDuration), now)
 	e.ObserveRead(VersionedRecord{}, now)
 	e.Acquired(VersionedRecord{Record: e.AcquireRecord(), Revision: 10}, now, now)
 	renewed := VersionedRecord{Record: e.RenewRecord(nil), Revision: 14}
-	now = now.Add(2 * length)
+	now = now.Add(2 * leaseDuration)
 	_, _, ok := e.Holding(now)
-	require.False(t, ok, "nothing confirmed the lease")
+	require.False(t, ok, "unconfirmed renewal")
 	e.ObserveRead(renewed, now)
 	step, _ := e.Next(0, now)
 	assert.Equal(t, StepRenew, step)
 	e.Renewed(VersionedRecord{Record: e.RenewRecord(nil), Revision: 15}, now, now)
 	fence, _, ok := e.Holding(now)
 	assert.True(t, ok)
-	assert.EqualValues(t, 10, fence, "nobody else had it meanwhile")
+	assert.EqualValues(t, 10, fence, "no other box held the lease in between")
 }
 
-// A taking that was done and not answered is not used: its revision, the fence, is not known.
-func TestTakingWithoutAnswerIsTakenAnew(t *testing.T) {
+// A box whose acquisition took effect without an answer does not know its fence, so it must acquire
+// the lease again.
+func TestUnansweredAcquisitionIsRepeated(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("a", 1, TimingFor(length), now)
+	e := NewElector("a", 1, TimingFor(leaseDuration), now)
 	e.ObserveRead(VersionedRecord{}, now)
 	e.ObserveRead(VersionedRecord{Record: e.AcquireRecord(), Revision: 10}, now)
 	_, _, ok := e.Holding(now)
@@ -196,29 +194,29 @@
 	assert.Equal(t, StepAcquire, step)
 }
 
-// What another holder left lasts: the state goes from record to record.
-func TestStateIsHandedOn(t *testing.T) {
+// The state is preserved when another box acquires the lease.
+func TestStateIsPassedToNextHolder(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	e := NewElector("b", 2, TimingFor(length), now)
+	e := NewElector("b", 2, TimingFor(leaseDuration), now)
 	e.ObserveAnnounced(VersionedRecord{Record: Record{Holder: "a", Incarnation: 1}, Revision: 7}, now)
-	now = now.Add(2 * length)
+	now = now.Add(2 * leaseDuration)
 	step, _ := e.Next(0, now)
-	require.Equal(t, StepRead, step, "a record that was only heard of is read before it is written over")
+	require.Equal(t, StepRead, step, "an announced record must be read before it is overwritten")
 	e.ObserveRead(VersionedRecord{Record: Record{Holder: "a", Incarnation: 1, State: []byte("left")}, Revision: 7}, now)
 	step, _ = e.Next(0, now)
 	require.Equal(t, StepAcquire, step)
 	assert.Equal(t, "left", string(e.AcquireRecord().State))
 }
 
-// Once a store that was away for minutes is back, a box takes the lease.
-func TestStoreAwayForMinutes(t *testing.T) {
-	h := newHistory(9, 6, TimingFor(length))
-	h.play(2*time.Second, nil)
-	h.storeDown = h.now.Add(3 * time.Minute)
-	h.play(3*time.Minute, nil)
-	require.Nil(t, h.holder())
-	h.takenWithin(t, nil, takenSoon+retryMost)
-	assert.Empty(t, h.broken())
+// After a store outage of minutes a box acquires the lease again.
+func TestLeaseIsAcquiredAfterStoreOutage(t *testing.T) {
+	sim := newSimulation(9, 6, TimingFor(leaseDuration))
+	sim.run(2*time.Second, nil)
+	sim.storeDownUntil = sim.now.Add(3 * time.Minute)
+	sim.run(3*time.Minute, nil)
+	require.Nil(t, sim.holder())
+	sim.requireTakeover(t, nil, maxTakeoverTime+maxRetryDelay)
+	assert.Empty(t, sim.violation())
 }
 
 func TestFormOfTheLease(t *testing.T) {
--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -14,41 +14,42 @@
 	"headhill.example/headhill/pkg/datagram"
 )
 
-// Deps are what a Manager is built on.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Box         string
 	Incarnation uint64
 	Timing      Timing
 	Store       Store
 	Port        *datagram.Port
-	// Peers are the addresses of the other boxes, Rank is this box's place in the order in
-	// which boxes take the lease, on which those that know the same others agree.
+	// Peers returns the addresses of the other boxes. Rank returns the position of this box in the
+	// order in which boxes acquire the lease; it is consistent among boxes that know the same
+	// peers.
 	Peers func() []*net.UDPAddr
 	Rank  func() int
-	// NoPeers tells that this box knows no other: the others may not be there yet.
+	// NoPeers reports whether this box knows no peers, as before discovery at startup.
 	NoPeers func() bool
-	// State is what the duties hand on. It is asked before each renewal.
+	// State returns the state of the duties. It is called before each renewal.
 	State func() []byte
-	// OnAcquired is told of each taking, with the state of the holder before. It runs before
-	// the lease is used.
+	// OnAcquired is called on each acquisition with the state of the previous holder, before the
+	// lease is used.
 	OnAcquired func(state []byte)
-	// Announcement is what this box tells the others with each renewal, OnAnnouncement takes it in from the
-	// holder.
+	// Announcement returns the payload that the holder announces with each renewal, OnAnnouncement
+	// receives it on the other boxes.
 	Announcement   func() []byte
 	OnAnnouncement func(told []byte, received time.Time)
-	// OnHolderChange is told of a new holder that this box hears of.
+	// OnHolderChange is called when another box announces a new holder.
 	OnHolderChange func(box string)
 	Logger         log.Logger
 }
 
-// Holding is a lease that this box holds.
+// Holding describes a lease held by this box.
 type Holding struct {
 	Fence uint64
-	// Until is how long this box may act on it. A call must have ended by then.
+	// Until is when the lease ends. Calls must have returned by then.
 	Until time.Time
 }
 
-// Status is what is known of the lease, for operators.
+// Status describes the lease as known to this box, for operators.
 type Status struct {
 	Holder       string
 	Fence        uint64
@@ -59,108 +60,109 @@
 	Failures     int
 }
 
-// Manager takes and keeps the lease for one box. One goroutine steps it; others ask.
+// Manager acquires and renews the lease for one box. A single goroutine runs Run; all other
+// methods are safe for concurrent use.
 type Manager struct {
 	Deps
 	wake chan struct{}
 
 	mu      sync.Mutex
 	elector *Elector
-	// wanted numbers the states that were asked to be saved, saved is the last one that the
-	// store has.
-	wanted uint64
-	saved  uint64
-	// stopped is set once this box is about to end.
+	// saveRequested numbers the requests to save the state, lastSaved is the last one whose state
+	// is stored.
+	saveRequested uint64
+	lastSaved     uint64
+	// stopped is set once this box is shutting down.
 	stopped bool
 	status  Status
-	// retryAt is when to call again after a call that failed, retries how many did in a row.
-	retryAt time.Time
-	retries int
+	// retryAt is when a failed store call is retried, failuresInRow counts consecutive failures.
+	retryAt       time.Time
+	failuresInRow int
 }
 
 const (
-	// rankDelay is added for each place in the order before another box takes the lease, so
-	// that those before it come first and are heard. A taking is told within milliseconds
-	// where the store is calm.
+	// rankDelay is the takeover delay added per rank. It leaves the boxes of lower rank time to
+	// acquire and announce the lease.
 	rankDelay = 250 * time.Millisecond
-	// aloneDelay is that of a box that knows no other: where all start at once, they see each
-	// other before.
-	aloneDelay = 2 * time.Second
-	// rankMost bounds the delay: it also holds for a box that knows no order yet.
-	rankMost = 64
-	// callMost bounds a call to the store. A calm one answers within some milliseconds.
-	callMost = 700 * time.Millisecond
-	// retryLeast and retryMost are the pauses after a call that failed; each further one in
-	// a row doubles it for a box that does not hold the lease.
-	retryLeast = 150 * time.Millisecond
-	retryMost  = 4 * time.Second
+	// noPeersDelay is the takeover delay of a box that knows no peers, so that boxes started
+	// together discover each other first.
+	noPeersDelay = 2 * time.Second
+	// maxRank bounds the takeover delay, also for a box that is not ranked yet.
+	maxRank = 64
+	// storeTimeout bounds a store call.
+	storeTimeout = 700 * time.Millisecond
+	// minRetryDelay is the delay after a failed store call. For boxes that do not hold the lease it
+	// doubles with each consecutive failure, up to maxRetryDelay.
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 4 * time.Second
 )
 
-// NewManager returns a keeper that hears the port's messages from now on.
+// NewManager returns a manager that handles lease announcements received on the port.
 func NewManager(d Deps) *Manager {
-	k := &Manager{Deps: d, wake: make(chan struct{}, 1), elector: NewElector(d.Box, d.Incarnation, d.Timing, clock.NowExact())}
-	d.Port.Handle(kind, k.hear)
-	return k
+	m := &Manager{Deps: d, wake: make(chan struct{}, 1), elector: NewElector(d.Box, d.Incarnation, d.Timing, clock.NowExact())}
+	d.Port.Handle(datagramKind, m.handleAnnouncement)
+	return m
 }
 
-// Holding returns the lease if this box holds it now. It is asked before each call.
-func (k *Manager) Holding() (Holding, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	fence, until, ok := k.elector.Holding(clock.NowExact())
-	return Holding{Fence: fence, Until: until}, ok && !k.stopped
+// Holding returns the lease if this box holds it now. It must be called before each call that the
+// lease protects.
+func (m *Manager) Holding() (Holding, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	fence, until, ok := m.elector.Holding(clock.NowExact())
+	return Holding{Fence: fence, Until: until}, ok && !m.stopped
 }
 
-// Holder names the box that is known to hold the lease, "" if none is.
-func (k *Manager) Holder() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.elector.Latest().Holder
+// Holder returns the box known to hold the lease, or "" if none does.
+func (m *Manager) Holder() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.elector.Latest().Holder
 }
 
-// Status tells what is known of the lease.
-func (k *Manager) Status() Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Status returns the state of the lease as known to this box.
+func (m *Manager) Status() Status {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := clock.NowExact()
-	s := k.status
-	seen := k.elector.Latest()
-	fence, _, mine := k.elector.Holding(now)
-	s.Holder, s.Fence, s.Held = seen.Holder, seen.Fence, mine
-	if mine {
+	s := m.status
+	latest := m.elector.Latest()
+	fence, _, holding := m.elector.Holding(now)
+	s.Holder, s.Fence, s.Held = latest.Holder, latest.Fence, holding
+	if holding {
 		s.Fence = fence
 	}
-	s.RecordAge = now.Sub(k.elector.seenAt)
+	s.RecordAge = now.Sub(m.elector.latestSince)
 	return s
 }
 
-// RequestSave has the state written soon. It returns a number that LastSaved reaches once a state
-// that was asked for after this call is in the store.
-func (k *Manager) RequestSave() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.wanted++
-	k.Wake()
-	return k.wanted
+// RequestSave requests that the state be stored soon. It returns a number that LastSaved reaches
+// once a state captured after this call is stored.
+func (m *Manager) RequestSave() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.saveRequested++
+	m.Wake()
+	return m.saveRequested
 }
 
-// LastSaved tells up to which number states are in the store.
-func (k *Manager) LastSaved() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.saved
+// LastSaved returns the number of the last request whose state is stored.
+func (m *Manager) LastSaved() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.lastSaved
 }
 
-// Wake has the keeper look again what is due, as when the order of the boxes has changed.
-func (k *Manager) Wake() {
+// Wake makes the manager reconsider its next step, for example after the ranks have changed.
+func (m *Manager) Wake() {
 	select {
-	case k.wake <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps the lease until ctx ends.
-func (k *Manager) Run(ctx context.Context) {
+// Run acquires and renews the lease until ctx is done.
+func (m *Manager) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -168,184 +170,182 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-k.wake:
+		case <-m.wake:
 		}
-		timer.Reset(clock.Until(k.step(ctx)))
+		timer.Reset(clock.Until(m.step(ctx)))
 	}
 }
 
-// step does what is due. It returns when to step again.
-func (k *Manager) step(ctx context.Context) time.Time {
+// step performs the next step. It returns when to call it again.
+func (m *Manager) step(ctx context.Context) time.Time {
 	now := clock.NowExact()
-	k.mu.Lock()
-	step, due := k.elector.Next(k.delay(), now)
-	_, _, holding := k.elector.Holding(now)
-	if step == StepWait && holding && k.wanted > k.saved {
+	m.mu.Lock()
+	step, due := m.elector.Next(m.acquireDelay(), now)
+	_, _, holding := m.elector.Holding(now)
+	if step == StepWait && holding && m.saveRequested > m.lastSaved {
 		step, due = StepRenew, now
 	}
-	if k.stopped {
-		step, due = StepWait, now.Add(k.Timing.TakeoverDelay)
+	if m.stopped {
+		step, due = StepWait, now.Add(m.Timing.TakeoverDelay)
 	}
-	if step != StepWait && now.Before(k.retryAt) {
-		step, due = StepWait, k.retryAt
+	if step != StepWait && now.Before(m.retryAt) {
+		step, due = StepWait, m.retryAt
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	switch step {
 	case StepRead:
-		k.ended(k.read(ctx), holding)
+		m.recordResult(m.read(ctx), holding)
 	case StepAcquire:
-		k.ended(k.take(ctx), holding)
+		m.recordResult(m.acquire(ctx), holding)
 	case StepRenew:
-		k.ended(k.renew(ctx), holding)
+		m.recordResult(m.renew(ctx), holding)
 	default:
 		return due
 	}
 	return clock.NowExact()
 }
 
-func (k *Manager) delay() time.Duration {
-	if k.NoPeers() {
-		return aloneDelay
+func (m *Manager) acquireDelay() time.Duration {
+	if m.NoPeers() {
+		return noPeersDelay
 	}
-	return rankDelay * time.Duration(min(k.Rank(), rankMost))
+	return rankDelay * time.Duration(min(m.Rank(), maxRank))
 }
 
-// ended notes how a call went.
-func (k *Manager) ended(err error, holding bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if err == nil || errors.Is(err, errReread) {
-		k.retries, k.retryAt = 0, time.Time{}
+// recordResult schedules a retry after a failed store call.
+func (m *Manager) recordResult(err error, holding bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err == nil || errors.Is(err, errConflictResolved) {
+		m.failuresInRow, m.retryAt = 0, time.Time{}
 		return
 	}
-	k.status.Failures++
-	pause := retryLeast
+	m.status.Failures++
+	delay := minRetryDelay
 	if !holding {
-		pause = min(retryLeast<<min(k.retries, 8), retryMost)
+		delay = min(minRetryDelay<<min(m.failuresInRow, 8), maxRetryDelay)
 	}
-	k.retries++
-	k.retryAt = clock.NowExact().Add(pause)
+	m.failuresInRow++
+	m.retryAt = clock.NowExact().Add(delay)
 }
 
-func (k *Manager) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+func (m *Manager) read(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	s, err := k.Store.Read(ctx)
+	s, err := m.Store.Read(ctx)
 	if err != nil {
-		_ = level.Info(k.Logger).Log("msg", "lease not read", "err", err, "outcome", "read again")
+		_ = level.Info(m.Logger).Log("msg", "could not read lease record", "err", err, "outcome", "retrying")
 		return err
 	}
-	k.mu.Lock()
-	newer := s.Revision > k.elector.Latest().Revision
-	k.elector.ObserveRead(s, clock.NowExact())
-	k.mu.Unlock()
+	m.mu.Lock()
+	newer := s.Revision > m.elector.Latest().Revision
+	m.elector.ObserveRead(s, clock.NowExact())
+	m.mu.Unlock()
 	if newer {
-		k.tell(s)
+		m.announce(s)
 	}
 	return nil
 }
 
-func (k *Manager) take(ctx context.Context) error {
-	k.mu.Lock()
-	r, before := k.elector.AcquireRecord(), k.elector.Latest()
-	k.mu.Unlock()
+func (m *Manager) acquire(ctx context.Context) error {
+	m.mu.Lock()
+	r, previous := m.elector.AcquireRecord(), m.elector.Latest()
+	m.mu.Unlock()
 	sent := clock.NowExact()
-	s, err := k.write(ctx, r, before.Revision)
+	s, err := m.write(ctx, r, previous.Revision)
 	if err != nil {
 		return err
 	}
-	k.OnAcquired(before.State)
-	k.mu.Lock()
-	k.elector.Acquired(s, sent, clock.NowExact())
-	k.status.Acquisitions++
-	k.mu.Unlock()
-	_ = level.Info(k.Logger).Log("msg", "lease taken", "fence", s.Revision, "before", before.Holder, "before_revision", before.Revision, "after", clock.Since(sent))
-	k.tell(s)
+	m.OnAcquired(previous.State)
+	m.mu.Lock()
+	m.elector.Acquired(s, sent, clock.NowExact())
+	m.status.Acquisitions++
+	m.mu.Unlock()
+	_ = level.Info(m.Logger).Log("msg", "lease acquired", "fence", s.Revision, "before", previous.Holder, "before_revision", previous.Revision, "after", clock.Since(sent))
+	m.announce(s)
 	return nil
 }
 
-func (k *Manager) renew(ctx context.Context) error {
-	k.mu.Lock()
-	wanted := k.wanted
-	k.mu.Unlock()
-	state := k.State()
-	k.mu.Lock()
-	r, revision := k.elector.RenewRecord(state), k.elector.Latest().Revision
-	k.mu.Unlock()
+func (m *Manager) renew(ctx context.Context) error {
+	m.mu.Lock()
+	requested := m.saveRequested
+	m.mu.Unlock()
+	state := m.State()
+	m.mu.Lock()
+	r, revision := m.elector.RenewRecord(state), m.elector.Latest().Revision
+	m.mu.Unlock()
 	sent := clock.NowExact()
-	s, err := k.write(ctx, r, revision)
+	s, err := m.write(ctx, r, revision)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	k.elector.Renewed(s, sent, clock.NowExact())
-	k.saved = max(k.saved, wanted)
-	k.status.Renewals++
-	k.mu.Unlock()
-	k.tell(s)
+	m.mu.Lock()
+	m.elector.Renewed(s, sent, clock.NowExact())
+	m.lastSaved = max(m.lastSaved, requested)
+	m.status.Renewals++
+	m.mu.Unlock()
+	m.announce(s)
 	return nil
 }
 
-// write writes a record. Where another one was written meanwhile, it reads that.
-func (k *Manager) write(ctx context.Context, r Record, revision uint64) (VersionedRecord, error) {
-	sending, cancel := context.WithTimeout(ctx, callMost)
+// write writes a record. After a conflict, it reads the current one.
+func (m *Manager) write(ctx context.Context, r Record, revision uint64) (VersionedRecord, error) {
+	writeCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	s, err := k.Store.Write(sending, r, revision)
+	s, err := m.Store.Write(writeCtx, r, revision)
 	if err == nil {
 		return s, nil
 	}
-	_ = level.Info(k.Logger).Log("msg", "lease not written", "holder", r.Holder, "revision", revision, "err", err, "outcome", "read again")
+	_ = level.Info(m.Logger).Log("msg", "could not write lease record", "holder", r.Holder, "revision", revision, "err", err, "outcome", "retrying")
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
-		return s, k.reread(ctx, err)
+		return s, m.reread(ctx, err)
 	}
 	return s, err
 }
 
-// reread reads what is there in place of what was seen. It returns the error of the write
-// unless that is known now.
-func (k *Manager) reread(ctx context.Context, cause error) error {
-	if err := k.read(ctx); err != nil {
+// reread reads the record that caused a conflict. It returns errConflictResolved if that succeeds.
+func (m *Manager) reread(ctx context.Context, cause error) error {
+	if err := m.read(ctx); err != nil {
 		return errors.Join(cause, err)
 	}
-	return errReread
+	return errConflictResolved
 }
 
-// errReread ends a step whose write was refused, once the record has been read.
-var errReread = errors.New("another record was there: it was read")
+// errConflictResolved ends a step whose write conflicted, once the current record has been read.
+var errConflictResolved = errors.New("another box changed the lease record: it was read again")
 
-// Stop ends this box's holding, so that no call begins any more. The lease itself lapses,
-// unless Release follows. It returns whether the box held it.
-func (k *Manager) Stop() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, _, holding := k.elector.Holding(clock.NowExact())
-	k.stopped = true
+// Stop ends the use of the lease by this box, so that no new calls start. The lease expires unless
+// Release follows. It reports whether the box held the lease.
+func (m *Manager) Stop() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, _, holding := m.elector.Holding(clock.NowExact())
+	m.stopped = true
 	return holding
 }
 
-// handOverTries is how often the handing over is written: a renewal that was under way may
-// have changed the record.
-const handOverTries = 2
+// releaseAttempts allows for a renewal in flight that changes the record during the first attempt.
+const releaseAttempts = 2
 
-// Release gives the lease up after Stop, so that another box takes it at once. No call may be
-// under way any more: it would arrive after those of the next holder.
-func (k *Manager) Release(ctx context.Context) {
-	state := k.State()
-	err := errReread
-	for try := 0; try < handOverTries && errors.Is(err, errReread); try++ {
-		k.mu.Lock()
-		mine := k.elector.mine()
-		r, revision := k.elector.ReleaseRecord(state), k.elector.Latest().Revision
-		k.elector.Released(clock.NowExact())
-		k.mu.Unlock()
-		if !mine {
+// Release releases the lease after Stop, so that another box can acquire it at once. No calls may
+// be in flight, as they would arrive after those of the next holder.
+func (m *Manager) Release(ctx context.Context) {
+	state := m.State()
+	err := errConflictResolved
+	for attempt := 0; attempt < releaseAttempts && errors.Is(err, errConflictResolved); attempt++ {
+		m.mu.Lock()
+		ownsLatest := m.elector.ownsLatest()
+		r, revision := m.elector.ReleaseRecord(state), m.elector.Latest().Revision
+		m.elector.Released(clock.NowExact())
+		m.mu.Unlock()
+		if !ownsLatest {
 			return
 		}
 		var s VersionedRecord
-		if s, err = k.write(ctx, r, revision); err == nil {
-			k.tell(s)
+		if s, err = m.write(ctx, r, revision); err == nil {
+			m.announce(s)
 		}
 	}
-	_ = level.Info(k.Logger).Log("msg", "lease handed over", "err", err)
+	_ = level.Info(m.Logger).Log("msg", "lease released", "err", err)
 }
