--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -13,7 +13,7 @@
 
 // Under random faults calls are never made with an outdated fence, and once all faults have ended
 // exactly one box holds the lease.
-func TestDrawnHistoriesKeepTheRules(t *testing.T) {
+func TestRandomFaultsKeepLeaseRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingFor(leaseDuration))
 		sim.run(40*time.Second, sim.randomFaults(rapid.IntRange(20, 300).Draw(t, "every")))
@@ -37,7 +37,7 @@
 
 // A holder whose machine was suspended must not make calls under a lease that another box has
 // acquired meanwhile, as its clock includes the suspension.
-func TestSuspendedHoldersKeepTheRules(t *testing.T) {
+func TestSuspendedHoldersKeepLeaseRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 7).Draw(t, "boxes"), TimingFor(leaseDuration))
 		sim.suspendMachines = true
@@ -47,7 +47,7 @@
 }
 
 // With clocks that stop during a suspension, the simulation must detect calls with outdated fences.
-func TestClockThatStandsStillBreaksTheRules(t *testing.T) {
+func TestMonotonicClockBreaksLeaseRules(t *testing.T) {
 	violations := 0
 	for seed := range uint64(40) {
 		sim := newSimulation(seed, 4, TimingFor(leaseDuration))
@@ -61,7 +61,7 @@
 	assert.Positive(t, violations)
 }
 
-func TestHistoriesShowEachMechanism(t *testing.T) {
+func TestSimulationDetectsMissingMechanisms(t *testing.T) {
 	for name, change := range map[string]func(*Timing){
 		"holder uses its lease beyond the takeover delay": func(x *Timing) { x.Validity = x.TakeoverDelay * 3 / 2 },
 		"takeover before the holder has given up":         func(x *Timing) { x.TakeoverDelay = x.Validity / 3 },
@@ -219,6 +219,6 @@
 	assert.Empty(t, sim.violation())
 }
 
-func TestFormOfTheLease(t *testing.T) {
+func TestLeaseWireForm(t *testing.T) {
 	formstest.CheckShape(t, "lease", &leasepb.Lease{}, Record{})
 }
