--- a/pkg/duties/duties.go
+++ b/pkg/duties/duties.go
@@ -1,6 +1,6 @@
-// Package duties does what the fleet has to do once, on the box that holds the lease:
-// it reports usage and orders servers. Each call is made only while the lease is held,
-// under its fence, and ends before the lease does.
+// Package duties performs the work that the fleet does only once, on the box that holds the lease:
+// reporting usage and ordering servers. Each call carries the fencing token, is only started while
+// the lease is held, and is cancelled before the lease ends.
 package duties
 
 import (
@@ -22,30 +22,30 @@
 	"headhill.example/headhill/pkg/pause"
 )
 
-// Caller is the box that makes a call, and the fence that it holds.
+// Caller identifies the box that makes a call by its name and fencing token.
 type Caller struct {
 	Box   string
 	Fence uint64
 }
 
-// Cloud is where the duties' calls go.
+// Cloud is the API of the platform that the duties call.
 type Cloud interface {
-	ReportUsage(ctx context.Context, by Caller, r metering.Report) error
-	// OrderServers returns a *NoCapacityError where more servers can't be had at present.
-	OrderServers(ctx context.Context, by Caller, o autoscale.Order) error
+	ReportUsage(ctx context.Context, caller Caller, r metering.Report) error
+	// OrderServers returns a *NoCapacityError if no more servers are available at present.
+	OrderServers(ctx context.Context, caller Caller, o autoscale.Order) error
 }
 
-// NoCapacityError says that a hall has no more servers of a kind at present.
+// NoCapacityError is returned if a hall has no more servers of a kind at present.
 type NoCapacityError struct {
 	Hall string
 	Kind autoscale.Kind
 }
 
 func (e *NoCapacityError) Error() string {
-	return fmt.Sprintf("no servers %s are available in hall %s at present: order elsewhere, or again later", e.Kind, e.Hall)
+	return fmt.Sprintf("no %s servers available in hall %s at present: order elsewhere or retry later", e.Kind, e.Hall)
 }
 
-// Lease tells whether this box holds the lease, and has the duties' state written with it.
+// Lease tells whether this box holds the lease, and stores the state of the duties with it.
 type Lease interface {
 	Holding() (lease.Holding, bool)
 	RequestSave() uint64
@@ -53,64 +53,64 @@
 }
 
 const (
-	// tick is how often the duties look whether something is due.
-	tick = 200 * time.Millisecond
-	// callMost bounds one call, callLeast is what must be left of the lease to begin one.
-	callMost  = time.Second
-	callLeast = 50 * time.Millisecond
-	// retryAfter is the pause after a call that failed.
-	retryAfter = 400 * time.Millisecond
+	// tickInterval is the interval at which each duty checks for due work.
+	tickInterval = 200 * time.Millisecond
+	// callTimeout bounds a call. minCallTime is the remaining lease time required to start one.
+	callTimeout = time.Second
+	minCallTime = 50 * time.Millisecond
+	// retryDelay is the delay after a failed call.
+	retryDelay = 400 * time.Millisecond
 )
 
-// notHeldError ends a call for which this box has not the lease.
-type notHeldError struct{}
+// leaseNotHeldError is returned if the lease is not held long enough to make a call.
+type leaseNotHeldError struct{}
 
-func (notHeldError) Error() string { return "the lease is not held long enough: its holder calls" }
+func (leaseNotHeldError) Error() string { return "call not started: lease not held long enough" }
 
-// caller makes calls under the lease.
-type caller struct {
-	box    string
-	holder Lease
-	// underWay counts the calls that have begun and not ended.
-	underWay atomic.Int32
+// fencedCaller makes calls under the lease.
+type fencedCaller struct {
+	box   string
+	lease Lease
+	// inFlight counts the calls in flight.
+	inFlight atomic.Int32
 }
 
-// call makes one call if the lease is held, and bounds it by the lease. The check of the
-// lease comes immediately before the call. It returns under which fence the call was made.
-func (c *caller) call(ctx context.Context, f func(context.Context, Caller) error) (Caller, error) {
-	c.underWay.Add(1)
-	defer c.underWay.Add(-1)
-	h, ok := c.holder.Holding()
-	left := clock.Until(h.Until)
-	if !ok || left < callLeast {
-		return Caller{}, notHeldError{}
+// call runs f with a timeout that ends before the lease. It checks the lease immediately before the
+// call, and returns the Caller under which the call was made.
+func (c *fencedCaller) call(ctx context.Context, f func(context.Context, Caller) error) (Caller, error) {
+	c.inFlight.Add(1)
+	defer c.inFlight.Add(-1)
+	h, ok := c.lease.Holding()
+	remaining := clock.Until(h.Until)
+	if !ok || remaining < minCallTime {
+		return Caller{}, leaseNotHeldError{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(left, callMost))
+	ctx, cancel := context.WithTimeout(ctx, min(remaining, callTimeout))
 	defer cancel()
-	by := Caller{Box: c.box, Fence: h.Fence}
-	return by, f(ctx, by)
+	caller := Caller{Box: c.box, Fence: h.Fence}
+	return caller, f(ctx, caller)
 }
 
-// Deps are what a Runner is built on.
+// Deps are the dependencies of a Runner.
 type Deps struct {
 	Box   string
 	Lease Lease
 	Cloud Cloud
-	// Reporter and Scaler are nil where the box has not that duty.
+	// Reporter and Scaler are nil if the box does not perform that duty.
 	Reporter *Reporter
 	Scaler   *Scaler
 	Logger   log.Logger
 }
 
-// Runner runs the duties while this box holds the lease.
+// Runner performs the duties while this box holds the lease.
 type Runner struct {
 	Deps
-	calls *caller
+	calls *fencedCaller
 }
 
-// New returns duties that hold nothing yet.
+// New returns a Runner.
 func New(d Deps) *Runner {
-	calls := &caller{box: d.Box, holder: d.Lease}
+	calls := &fencedCaller{box: d.Box, lease: d.Lease}
 	if d.Reporter != nil {
 		d.Reporter.attach(calls, d.Cloud, d.Logger)
 	}
@@ -120,94 +120,94 @@
 	return &Runner{Deps: d, calls: calls}
 }
 
-// idleCheck is how often is looked whether a call is still under way.
-const idleCheck = 5 * time.Millisecond
+// idlePollInterval is the interval at which AwaitIdle checks for calls in flight.
+const idlePollInterval = 5 * time.Millisecond
 
-// AwaitIdle waits until no call is under way. It returns false if ctx ends before that.
-func (d *Runner) AwaitIdle(ctx context.Context) bool {
-	for d.calls.underWay.Load() > 0 {
+// AwaitIdle waits until no calls are in flight. It returns false if ctx is done before that.
+func (r *Runner) AwaitIdle(ctx context.Context) bool {
+	for r.calls.inFlight.Load() > 0 {
 		if ctx.Err() != nil {
 			return false
 		}
-		pause.For(ctx, idleCheck)
+		pause.For(ctx, idlePollInterval)
 	}
 	return true
 }
 
-// Run does the duties until ctx ends. Each has a loop of its own, so that a slow call of one
-// holds up no other.
-func (d *Runner) Run(ctx context.Context) {
+// Run performs the duties until ctx is done. Each duty has its own loop, so that a slow call of one
+// does not delay the other.
+func (r *Runner) Run(ctx context.Context) {
 	var wg conc.WaitGroup
-	if d.Reporter != nil {
-		wg.Go(func() { d.every(ctx, d.Reporter.step) })
+	if r.Reporter != nil {
+		wg.Go(func() { r.every(ctx, r.Reporter.step) })
 	}
-	if d.Scaler != nil {
-		wg.Go(func() { d.every(ctx, d.Scaler.step) })
+	if r.Scaler != nil {
+		wg.Go(func() { r.every(ctx, r.Scaler.step) })
 	}
 	wg.Wait()
 }
 
-// every steps a duty while the lease is held.
-func (d *Runner) every(ctx context.Context, step func(context.Context)) {
-	ticker := time.NewTicker(tick)
+// every calls step periodically while the lease is held.
+func (r *Runner) every(ctx context.Context, step func(context.Context)) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if _, ok := d.Lease.Holding(); ok {
+			if _, ok := r.Lease.Holding(); ok {
 				step(ctx)
 			}
 		}
 	}
 }
 
-// state is what the duties hand on with the lease.
-type state struct {
+// savedState is the state of the duties that is stored with the lease.
+type savedState struct {
 	Metering *metering.Ledger                `json:"metering,omitempty"`
-	Books    map[string]autoscale.HallCounts `json:"books,omitempty"`
+	Ordered  map[string]autoscale.HallCounts `json:"books,omitempty"`
 }
 
-// State is what the next holder of the lease goes on from.
-func (d *Runner) State() []byte {
-	var s state
-	if d.Reporter != nil {
-		s.Metering = d.Reporter.Ledger()
+// State returns the state for the next holder of the lease.
+func (r *Runner) State() []byte {
+	var s savedState
+	if r.Reporter != nil {
+		s.Metering = r.Reporter.Ledger()
 	}
-	if d.Scaler != nil {
-		s.Books = d.Scaler.Ordered()
+	if r.Scaler != nil {
+		s.Ordered = r.Scaler.Ordered()
 	}
-	// Plain structs always encode.
+	// Marshalling plain structs cannot fail.
 	data, _ := json.Marshal(s)
 	return data
 }
 
-// Restore goes on from what the holder before has left.
-func (d *Runner) Restore(data []byte) {
-	var s state
+// Restore loads the state of the previous holder.
+func (r *Runner) Restore(data []byte) {
+	var s savedState
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &s); err != nil {
-			_ = level.Error(d.Logger).Log("msg", "state of the duties not read", "err", err, "bytes", len(data), "outcome", "begun anew")
-			s = state{}
+			_ = level.Error(r.Logger).Log("msg", "could not decode state of the previous lease holder", "err", err, "bytes", len(data), "outcome", "starting without it")
+			s = savedState{}
 		}
 	}
-	if d.Reporter != nil {
-		d.Reporter.take(s.Metering)
+	if r.Reporter != nil {
+		r.Reporter.restore(s.Metering)
 	}
-	if d.Scaler != nil {
-		d.Scaler.take(s.Books)
+	if r.Scaler != nil {
+		r.Scaler.restore(s.Ordered)
 	}
 }
 
-// guarded is a value that several goroutines use.
-type guarded[T any] struct {
-	mu sync.Mutex
-	v  T
+// mutexed is a value protected by a mutex.
+type mutexed[T any] struct {
+	mu    sync.Mutex
+	value T
 }
 
-func (g *guarded[T]) with(f func(*T)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	f(&g.v)
+func (m *mutexed[T]) with(f func(*T)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	f(&m.value)
 }
--- a/pkg/duties/duties_test.go
+++ b/pkg/duties/duties_test.go
@@ -18,57 +18,57 @@
 	"headhill.example/headhill/pkg/metering/usagepb"
 )
 
-// holder is a lease that the test gives and takes.
-type holder struct {
-	mu            sync.Mutex
-	fence         uint64
-	until         time.Time
-	wanted, saved uint64
-	// stuck keeps states from being saved.
-	stuck bool
+// fakeLease is a lease controlled by the test.
+type fakeLease struct {
+	mu               sync.Mutex
+	fence            uint64
+	until            time.Time
+	requested, saved uint64
+	// savesBlocked keeps the state from being stored.
+	savesBlocked bool
 }
 
-func (h *holder) Holding() (lease.Holding, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return lease.Holding{Fence: h.fence, Until: h.until}, time.Now().Before(h.until)
+func (l *fakeLease) Holding() (lease.Holding, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return lease.Holding{Fence: l.fence, Until: l.until}, time.Now().Before(l.until)
 }
 
-func (h *holder) RequestSave() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.wanted++
-	if !h.stuck {
-		h.saved = h.wanted
+func (l *fakeLease) RequestSave() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requested++
+	if !l.savesBlocked {
+		l.saved = l.requested
 	}
-	return h.wanted
+	return l.requested
 }
 
-func (h *holder) LastSaved() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.saved
+func (l *fakeLease) LastSaved() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.saved
 }
 
-func (h *holder) set(f func(*holder)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f(h)
+func (l *fakeLease) update(f func(*fakeLease)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	f(l)
 }
 
-// cloudFake notes the calls and answers as it is told.
-type cloudFake struct {
+// fakeCloud records the calls.
+type fakeCloud struct {
 	mu      sync.Mutex
 	reports []metering.Report
 	orders  []autoscale.Order
 	callers []Caller
 	err     error
-	// hang makes calls wait until their context ends.
+	// hang makes calls block until their context is done.
 	hang bool
 }
 
-func (c *cloudFake) answer(ctx context.Context, by Caller) error {
-	c.callers = append(c.callers, by)
+func (c *fakeCloud) answer(ctx context.Context, caller Caller) error {
+	c.callers = append(c.callers, caller)
 	if c.hang {
 		c.mu.Unlock()
 		<-ctx.Done()
@@ -78,51 +78,52 @@
 	return c.err
 }
 
-func (c *cloudFake) ReportUsage(ctx context.Context, by Caller, r metering.Report) error {
+func (c *fakeCloud) ReportUsage(ctx context.Context, caller Caller, r metering.Report) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reports = append(c.reports, r)
-	return c.answer(ctx, by)
+	return c.answer(ctx, caller)
 }
 
-func (c *cloudFake) OrderServers(ctx context.Context, by Caller, o autoscale.Order) error {
+func (c *fakeCloud) OrderServers(ctx context.Context, caller Caller, o autoscale.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders = append(c.orders, o)
-	return c.answer(ctx, by)
+	return c.answer(ctx, caller)
 }
 
-func (c *cloudFake) set(f func(*cloudFake)) {
+func (c *fakeCloud) update(f func(*fakeCloud)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c)
 }
 
-func (c *cloudFake) reported() []metering.Report {
+func (c *fakeCloud) reported() []metering.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]metering.Report(nil), c.reports...)
 }
 
-// contents are what was reported of each window; a window has one content only.
-func (c *cloudFake) contents(t *testing.T) map[metering.Window]map[string]int {
-	contents := make(map[metering.Window]map[string]int)
+// countsByWindow returns the reported counts. It fails if a window was reported with different
+// counts.
+func (c *fakeCloud) countsByWindow(t *testing.T) map[metering.Window]map[string]int {
+	counts := make(map[metering.Window]map[string]int)
 	for _, r := range c.reported() {
-		if before, ok := contents[r.Window]; ok {
-			require.Equal(t, before, r.Counts, "window %d", r.Window)
+		if previous, ok := counts[r.Window]; ok {
+			require.Equal(t, previous, r.Counts, "window %d", r.Window)
 		}
-		contents[r.Window] = r.Counts
+		counts[r.Window] = r.Counts
 	}
-	return contents
+	return counts
 }
 
-func (c *cloudFake) calls() []Caller {
+func (c *fakeCloud) calls() []Caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Caller(nil), c.callers...)
 }
 
-func (c *cloudFake) ordered() []autoscale.Order {
+func (c *fakeCloud) ordered() []autoscale.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]autoscale.Order(nil), c.orders...)
@@ -130,23 +131,23 @@
 
 const windowLength = 5 * time.Second
 
-func wall(t time.Time) time.Time { return t.Round(0).UTC() }
+func wallTime(t time.Time) time.Time { return t.Round(0).UTC() }
 
-// box is one that does the duties.
-type box struct {
-	holder    *holder
-	cloud     *cloudFake
+// testBox is a box that performs the duties.
+type testBox struct {
+	lease     *fakeLease
+	cloud     *fakeCloud
 	collector *metering.Collector
 	duties    *Runner
 	servers   []autoscale.Server
 }
 
-func newBox(cloud *cloudFake) *box {
-	b := &box{holder: &holder{}, cloud: cloud, collector: metering.NewCollector()}
+func newBox(cloud *fakeCloud) *testBox {
+	b := &testBox{lease: &fakeLease{}, cloud: cloud, collector: metering.NewCollector()}
 	names := map[metering.OrganisationHash]string{metering.HashOrganisation("alpha"): "alpha"}
 	b.duties = New(Deps{
-		Box: "box", Lease: b.holder, Cloud: cloud, Logger: log.NewNopLogger(),
-		Reporter: NewReporter(ReporterDeps{WindowLength: windowLength, Clock: wall, Collector: b.collector, OrganisationNames: func() map[metering.OrganisationHash]string { return names }}),
+		Box: "box", Lease: b.lease, Cloud: cloud, Logger: log.NewNopLogger(),
+		Reporter: NewReporter(ReporterDeps{WindowLength: windowLength, Clock: wallTime, Collector: b.collector, OrganisationNames: func() map[metering.OrganisationHash]string { return names }}),
 		Scaler: NewScaler(ScalerDeps{Policy: autoscale.ExpectedLoss{WorkValue: 12}, Services: func(time.Time) []Service {
 			offer := autoscale.Offer{MinServers: 1, MaxServers: 20, Boot: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"east": 1}}
 			return []Service{{Name: "models", Offer: offer, Servers: b.servers, Load: autoscale.Load{BusyServers: 2, Known: true}}}
@@ -158,28 +159,28 @@
 	return b
 }
 
-// hold gives the box the lease.
-func (b *box) hold(fence uint64, d time.Duration, state []byte) {
+// acquireLease gives the lease to the box.
+func (b *testBox) acquireLease(fence uint64, d time.Duration, state []byte) {
 	b.duties.Restore(state)
-	b.holder.set(func(h *holder) { h.fence, h.until = fence, time.Now().Add(d) })
+	b.lease.update(func(l *fakeLease) { l.fence, l.until = fence, time.Now().Add(d) })
 }
 
-// count counts requests in the window of now.
-func (b *box) count(n uint32) { b.countIn(metering.WindowAt(time.Now(), windowLength), n) }
+// countNow counts requests in the current window.
+func (b *testBox) countNow(n uint32) { b.countIn(metering.WindowAt(time.Now(), windowLength), n) }
 
-func (b *box) countIn(w metering.Window, n uint32) {
+func (b *testBox) countIn(w metering.Window, n uint32) {
 	b.collector.Merge("other", &usagepb.Usage{Incarnation: 1, Windows: []*usagepb.Window{
 		{Number: int64(w), Organisations: []uint64{uint64(metering.HashOrganisation("alpha"))}, Counts: []uint32{n}},
 	}})
 }
 
-// play runs f in played time with boxes that do their duties.
-func play(t *testing.T, f func(*testing.T, *cloudFake, func() *box)) {
+// runBoxes runs f with boxes that perform their duties, in simulated time.
+func runBoxes(t *testing.T, f func(*testing.T, *fakeCloud, func() *testBox)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		cloud := &cloudFake{}
-		f(t, cloud, func() *box {
+		cloud := &fakeCloud{}
+		f(t, cloud, func() *testBox {
 			b := newBox(cloud)
 			wg.Go(func() { b.duties.Run(ctx) })
 			return b
@@ -189,108 +190,108 @@
 	})
 }
 
-func TestWindowIsReportedOnceItIsRecorded(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+func TestWindowIsReportedAfterItIsStored(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		b := start()
-		b.holder.stuck = true
-		b.hold(7, time.Hour, nil)
-		counted := metering.WindowAt(time.Now(), windowLength)
-		b.count(3)
+		b.lease.savesBlocked = true
+		b.acquireLease(7, time.Hour, nil)
+		window := metering.WindowAt(time.Now(), windowLength)
+		b.countNow(3)
 		time.Sleep(2 * windowLength)
-		assert.Empty(t, cloud.reported(), "not before the store has it")
-		b.holder.set(func(h *holder) { h.stuck, h.saved = false, h.wanted })
+		assert.Empty(t, cloud.reported(), "reported before the window was stored")
+		b.lease.update(func(l *fakeLease) { l.savesBlocked, l.saved = false, l.requested })
 		time.Sleep(time.Second)
 		require.NotEmpty(t, cloud.reported())
-		assert.Equal(t, map[string]int{"alpha": 3}, cloud.contents(t)[counted])
+		assert.Equal(t, map[string]int{"alpha": 3}, cloud.countsByWindow(t)[window])
 		assert.Equal(t, Caller{Box: "box", Fence: 7}, cloud.calls()[0])
 	})
 }
 
-// What was counted before any box held the lease for the first time is reported too.
-func TestWindowsBeforeTheFirstHolderAreReported(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+// Requests counted before the first holder acquired the lease must be reported.
+func TestWindowsBeforeFirstHolderAreReported(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		b := start()
-		counted := metering.WindowAt(time.Now(), windowLength)
-		b.count(3)
+		window := metering.WindowAt(time.Now(), windowLength)
+		b.countNow(3)
 		time.Sleep(3 * windowLength)
-		b.hold(7, time.Hour, nil)
+		b.acquireLease(7, time.Hour, nil)
 		time.Sleep(windowLength)
-		assert.Equal(t, map[string]int{"alpha": 3}, cloud.contents(t)[counted])
+		assert.Equal(t, map[string]int{"alpha": 3}, cloud.countsByWindow(t)[window])
 	})
 }
 
-// What other boxes counted just before that may be heard only after it.
-func TestWindowJustBeforeTheFirstHolderIsReported(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+// Counts of other boxes from just before the first acquisition may arrive after it.
+func TestLateCountsBeforeFirstHolderAreReported(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		b := start()
-		before := metering.WindowAt(time.Now(), windowLength)
-		time.Sleep(time.Until(before.End(windowLength)) + 100*time.Millisecond)
-		b.hold(7, time.Hour, nil)
+		previous := metering.WindowAt(time.Now(), windowLength)
+		time.Sleep(time.Until(previous.End(windowLength)) + 100*time.Millisecond)
+		b.acquireLease(7, time.Hour, nil)
 		time.Sleep(500 * time.Millisecond)
-		b.countIn(before, 3)
+		b.countIn(previous, 3)
 		time.Sleep(2 * windowLength)
-		assert.Equal(t, map[string]int{"alpha": 3}, cloud.contents(t)[before])
+		assert.Equal(t, map[string]int{"alpha": 3}, cloud.countsByWindow(t)[previous])
 	})
 }
 
-// A report that failed is repeated to the letter, also by the next holder, and also if more
-// was heard of its window meanwhile.
+// A failed report must be retried with identical counts, even by the next holder and after further
+// counts have arrived for its window.
 func TestReportIsRepeatedToTheLetter(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		a, b := start(), start()
-		cloud.set(func(c *cloudFake) { c.err = errors.New("busy") })
-		a.hold(7, time.Hour, nil)
-		counted := metering.WindowAt(time.Now(), windowLength)
-		a.count(3)
-		b.count(8)
+		cloud.update(func(c *fakeCloud) { c.err = errors.New("unavailable") })
+		a.acquireLease(7, time.Hour, nil)
+		window := metering.WindowAt(time.Now(), windowLength)
+		a.countNow(3)
+		b.countNow(8)
 		time.Sleep(2 * windowLength)
 		require.NotEmpty(t, cloud.reported())
 		state := a.duties.State()
-		a.holder.set(func(h *holder) { h.until = time.Now() })
-		cloud.set(func(c *cloudFake) { c.err = nil })
-		b.hold(9, time.Hour, state)
+		a.lease.update(func(l *fakeLease) { l.until = time.Now() })
+		cloud.update(func(c *fakeCloud) { c.err = nil })
+		b.acquireLease(9, time.Hour, state)
 		time.Sleep(windowLength)
-		contents := cloud.contents(t)
-		assert.Equal(t, map[string]int{"alpha": 3}, contents[counted], "not what the next holder has heard")
-		assert.Contains(t, contents, counted+1, "the next window follows")
+		counts := cloud.countsByWindow(t)
+		assert.Equal(t, map[string]int{"alpha": 3}, counts[window], "counts must be those of the first report")
+		assert.Contains(t, counts, window+1, "the following window is reported too")
 	})
 }
 
-func TestNothingIsCalledWithoutTheLease(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+func TestNoCallsWithoutLease(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		b := start()
-		b.count(3)
+		b.countNow(3)
 		time.Sleep(3 * windowLength)
 		assert.Empty(t, cloud.calls())
-		b.hold(7, 3*time.Second, nil)
+		b.acquireLease(7, 3*time.Second, nil)
 		time.Sleep(4 * time.Second)
 		n := len(cloud.calls())
 		time.Sleep(3 * windowLength)
-		assert.Len(t, cloud.calls(), n, "the lease is over")
+		assert.Len(t, cloud.calls(), n, "calls after the lease has expired")
 	})
 }
 
-// A call ends with the lease, also if the platform says nothing.
-func TestCallEndsBeforeTheLease(t *testing.T) {
+// A call must not outlast the lease, even if the platform does not answer.
+func TestCallsEndBeforeLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &holder{fence: 7, until: time.Now().Add(300 * time.Millisecond)}
-		c := &caller{box: "box", holder: h}
-		begun := time.Now()
+		l := &fakeLease{fence: 7, until: time.Now().Add(300 * time.Millisecond)}
+		c := &fencedCaller{box: "box", lease: l}
+		startedAt := time.Now()
 		_, err := c.call(context.Background(), func(ctx context.Context, _ Caller) error {
 			<-ctx.Done()
 			return ctx.Err()
 		})
 		require.Error(t, err)
-		assert.LessOrEqual(t, time.Since(begun), 300*time.Millisecond)
+		assert.LessOrEqual(t, time.Since(startedAt), 300*time.Millisecond)
 		_, err = c.call(context.Background(), func(context.Context, Caller) error { return nil })
-		assert.ErrorIs(t, err, notHeldError{})
+		assert.ErrorIs(t, err, leaseNotHeldError{})
 	})
 }
 
-// A lease is handed over once no call is under way any more.
-func TestCallsUnderWayAreAwaited(t *testing.T) {
+// AwaitIdle must not return while a call is in flight, as the lease is released after it.
+func TestAwaitIdleWaitsForCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Deps{Box: "box", Lease: &holder{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
+		d := New(Deps{Box: "box", Lease: &fakeLease{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
 		assert.True(t, d.AwaitIdle(context.Background()))
 		go d.calls.call(context.Background(), func(context.Context, Caller) error {
 			time.Sleep(300 * time.Millisecond)
@@ -304,33 +305,33 @@
 	})
 }
 
-func TestOrdersAreHandedOn(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+func TestOrderedCountsArePassedToNextHolder(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		a, b := start(), start()
-		a.hold(7, time.Hour, nil)
+		a.acquireLease(7, time.Hour, nil)
 		time.Sleep(3 * time.Second)
 		require.NotEmpty(t, cloud.ordered())
-		books := a.duties.Scaler.Ordered()
-		a.holder.set(func(h *holder) { h.until = time.Now() })
-		b.hold(9, time.Hour, a.duties.State())
-		assert.Equal(t, books, b.duties.Scaler.Ordered())
+		ordered := a.duties.Scaler.Ordered()
+		a.lease.update(func(l *fakeLease) { l.until = time.Now() })
+		b.acquireLease(9, time.Hour, a.duties.State())
+		assert.Equal(t, ordered, b.duties.Scaler.Ordered())
 	})
 }
 
-// Servers that can't be had are asked for again now and then, not all the time.
-func TestRefusedOrdersAreNotRepeatedAtOnce(t *testing.T) {
-	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
+// Orders refused for lack of capacity must be retried at intervals only.
+func TestRefusedOrdersAreNotRetriedAtOnce(t *testing.T) {
+	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		cloud.err = &NoCapacityError{Hall: "east", Kind: autoscale.Spot}
 		b := start()
-		b.hold(7, time.Hour, nil)
+		b.acquireLease(7, time.Hour, nil)
 		time.Sleep(20 * time.Second)
 		assert.NotEmpty(t, cloud.ordered())
 		assert.Less(t, len(cloud.ordered()), 40)
 	})
 }
 
-func TestStateThatCanNotBeReadIsBegunAnew(t *testing.T) {
-	b := newBox(&cloudFake{})
+func TestUndecodableStateIsDropped(t *testing.T) {
+	b := newBox(&fakeCloud{})
 	b.duties.Restore([]byte("{"))
 	assert.Zero(t, b.duties.Reporter.Ledger().Next)
 	assert.Empty(t, b.duties.Scaler.Ordered())
--- a/pkg/duties/reporter.go
+++ b/pkg/duties/reporter.go
@@ -14,33 +14,32 @@
 	"headhill.example/headhill/pkg/metering"
 )
 
-// ReporterDeps are what a Reporter is built on.
+// ReporterDeps are the dependencies of a Reporter.
 type ReporterDeps struct {
-	// WindowLength is that of a window.
 	WindowLength time.Duration
 	Clock        func(time.Time) time.Time
 	Collector    *metering.Collector
-	// OrganisationNames returns the organisations by their keys.
+	// OrganisationNames returns the names of the organisations by their hashes.
 	OrganisationNames func() map[metering.OrganisationHash]string
 }
 
-// Reporter closes windows, has them recorded, and reports them.
+// Reporter closes windows, has them stored with the lease, and reports them.
 type Reporter struct {
 	ReporterDeps
-	calls  *caller
+	calls  *fencedCaller
 	cloud  Cloud
 	logger log.Logger
 
-	ledger guarded[metering.Ledger]
-	// recorded is the number of the saving that holds all closed windows.
-	recorded atomic.Uint64
-	retryAt  time.Time
-	status   guarded[ReporterStatus]
+	ledger mutexed[metering.Ledger]
+	// requiredSave is the save request whose state includes all closed windows.
+	requiredSave atomic.Uint64
+	retryAt      time.Time
+	status       mutexed[ReporterStatus]
 }
 
-// ReporterStatus is what was reported, for operators.
+// ReporterStatus describes the reports made so far, for operators.
 type ReporterStatus struct {
-	// LastWindow is the last window reported, at a time.
+	// LastWindow is the window reported last, at LastReportedAt.
 	LastWindow     metering.Window
 	LastReportedAt time.Time
 	Reported       int
@@ -48,124 +47,125 @@
 	Pending        int
 }
 
-// NewReporter returns a reporter that has closed nothing yet.
+// NewReporter returns a Reporter without any closed windows.
 func NewReporter(d ReporterDeps) *Reporter { return &Reporter{ReporterDeps: d} }
 
-func (r *Reporter) attach(calls *caller, cloud Cloud, logger log.Logger) {
+func (r *Reporter) attach(calls *fencedCaller, cloud Cloud, logger log.Logger) {
 	r.calls, r.cloud, r.logger = calls, cloud, logger
 }
 
-// Ledger is a copy of what is closed and not reported.
+// Ledger returns a copy of the ledger.
 func (r *Reporter) Ledger() *metering.Ledger {
 	var c metering.Ledger
 	r.ledger.with(func(l *metering.Ledger) { c = metering.Ledger{Next: l.Next, Closed: slices.Clone(l.Closed)} })
 	return &c
 }
 
-// Status tells what was reported.
+// Status returns the current status.
 func (r *Reporter) Status() ReporterStatus {
 	var s ReporterStatus
-	r.status.with(func(x *ReporterStatus) { s = *x })
+	r.status.with(func(status *ReporterStatus) { s = *status })
 	r.ledger.with(func(l *metering.Ledger) { s.Pending = len(l.Closed) })
 	return s
 }
 
-// take goes on from the ledger of the holder before. What it closed is recorded.
-func (r *Reporter) take(l *metering.Ledger) {
-	r.ledger.with(func(own *metering.Ledger) {
-		*own = metering.Ledger{}
+// restore loads the ledger of the previous holder. It is stored already.
+func (r *Reporter) restore(l *metering.Ledger) {
+	r.ledger.with(func(current *metering.Ledger) {
+		*current = metering.Ledger{}
 		if l != nil {
-			*own = *l
+			*current = *l
 		}
 	})
-	r.recorded.Store(0)
+	r.requiredSave.Store(0)
 }
 
-// step closes what is over and reports what is recorded.
+// step closes the windows that have ended and reports the next stored one.
 func (r *Reporter) step(ctx context.Context) {
 	now := clock.Now()
-	if r.close(r.Clock(now)) {
-		r.recorded.Store(r.calls.holder.RequestSave())
+	if r.closeWindows(r.Clock(now)) {
+		r.requiredSave.Store(r.calls.lease.RequestSave())
 	}
-	if r.calls.holder.LastSaved() < r.recorded.Load() || now.Before(r.retryAt) {
+	if r.calls.lease.LastSaved() < r.requiredSave.Load() || now.Before(r.retryAt) {
 		return
 	}
-	var due metering.Report
+	var report metering.Report
 	ok := false
-	r.ledger.with(func(l *metering.Ledger) { due, ok = l.NextReport() })
+	r.ledger.with(func(l *metering.Ledger) { report, ok = l.NextReport() })
 	if ok {
-		r.report(ctx, due)
+		r.report(ctx, report)
 	}
 }
 
-// close closes the windows that are over. It returns whether there were any.
-func (r *Reporter) close(now time.Time) bool {
+// closeWindows closes the windows that have ended. It reports whether there were any.
+func (r *Reporter) closeWindows(now time.Time) bool {
 	var closed []metering.Report
 	skipped := 0
 	r.ledger.with(func(l *metering.Ledger) {
-		l.StartAt(r.first(now))
-		closed, skipped = l.CloseEnded(now, r.WindowLength, r.total)
+		l.StartAt(r.firstWindow(now))
+		closed, skipped = l.CloseEnded(now, r.WindowLength, r.windowTotals)
 	})
 	if skipped > 0 {
-		_ = level.Error(r.logger).Log("msg", "windows not reported", "count", skipped, "reason", "no box held the lease for too long", "outcome", "their usage is in the requests' log lines only")
+		_ = level.Error(r.logger).Log("msg", "skipped usage windows", "count", skipped, "reason", "no box held the lease in time to report them", "outcome", "usage of these windows is only in the request log")
 	}
 	return len(closed) > 0
 }
 
-// beginBack is how long before the first holding a ledger begins at the least: what other boxes
-// counted then is heard within a second.
-const beginBack = 3 * time.Second
+// initialLookback is the minimum time by which a new ledger starts before the first acquisition of
+// the lease, as counts of other boxes arrive with a delay.
+const initialLookback = 3 * time.Second
 
-// first is where a ledger begins: at the first window in which anything was counted, or a
-// little back. Boxes serve before one of them holds the lease for the first time.
-func (r *Reporter) first(now time.Time) metering.Window {
-	first := metering.WindowAt(now.Add(-beginBack), r.WindowLength)
+// firstWindow returns the window at which a new ledger starts: the first one with any counts, or
+// the one initialLookback ago if that is earlier. Boxes serve requests before any box holds the
+// lease.
+func (r *Reporter) firstWindow(now time.Time) metering.Window {
+	first := metering.WindowAt(now.Add(-initialLookback), r.WindowLength)
 	if counted, ok := r.Collector.FirstWindow(); ok {
 		return min(counted, first)
 	}
 	return first
 }
 
-// total is the content of a window.
-func (r *Reporter) total(w metering.Window) map[string]int {
-	total, boxes := r.Collector.Total(w)
+// windowTotals returns the counts of a window by organisation name.
+func (r *Reporter) windowTotals(w metering.Window) map[string]int {
+	totals, boxes := r.Collector.Total(w)
 	names := r.OrganisationNames()
-	counts := make(map[string]int, len(total))
-	for key, n := range total {
-		name, ok := names[key]
+	counts := make(map[string]int, len(totals))
+	for hash, n := range totals {
+		name, ok := names[hash]
 		if !ok {
-			_ = level.Warn(r.logger).Log("msg", "organisation not known", "window", w, "key", key, "requests", n, "outcome", "not reported")
+			_ = level.Warn(r.logger).Log("msg", "usage of unknown organisation", "window", w, "key", hash, "requests", n, "outcome", "not reported")
 			continue
 		}
 		counts[name] = n
 	}
-	_ = level.Info(r.logger).Log("msg", "window closed", "window", w, "boxes", boxes, "organisations", len(counts), "requests", sum(counts))
+	_ = level.Info(r.logger).Log("msg", "usage window closed", "window", w, "boxes", boxes, "organisations", len(counts), "requests", totalRequests(counts))
 	return counts
 }
 
-// report reports one window.
-func (r *Reporter) report(ctx context.Context, due metering.Report) {
-	begun := clock.Now()
-	by, err := r.calls.call(ctx, func(ctx context.Context, by Caller) error {
-		return r.cloud.ReportUsage(ctx, by, due)
+// report sends the report of one window.
+func (r *Reporter) report(ctx context.Context, report metering.Report) {
+	startedAt := clock.Now()
+	caller, err := r.calls.call(ctx, func(ctx context.Context, caller Caller) error {
+		return r.cloud.ReportUsage(ctx, caller, report)
 	})
 	now := clock.Now()
 	if err != nil {
-		r.retryAt = now.Add(retryAfter)
+		r.retryAt = now.Add(retryDelay)
 		r.status.with(func(s *ReporterStatus) { s.Failed++ })
-		_ = level.Warn(r.logger).Log("msg", "usage not reported", "window", due.Window, "fence", by.Fence, "after", now.Sub(begun), "err", err, "outcome", "repeated as it is")
+		_ = level.Warn(r.logger).Log("msg", "could not report usage", "window", report.Window, "fence", caller.Fence, "after", now.Sub(startedAt), "err", err, "outcome", "retrying with the same counts")
 		return
 	}
-	r.ledger.with(func(l *metering.Ledger) { l.MarkReported(due.Window) })
+	r.ledger.with(func(l *metering.Ledger) { l.MarkReported(report.Window) })
 	r.status.with(func(s *ReporterStatus) {
 		s.Reported++
-		s.LastWindow, s.LastReportedAt = due.Window, now
+		s.LastWindow, s.LastReportedAt = report.Window, now
 	})
-	_ = level.Info(r.logger).Log("msg", "usage reported", "window", due.Window, "fence", by.Fence, "organisations", len(due.Counts), "requests", sum(due.Counts),
-		"late_ms", r.Clock(now).Sub(due.Window.End(r.WindowLength)).Milliseconds(), "after", now.Sub(begun))
+	_ = level.Info(r.logger).Log("msg", "usage reported", "window", report.Window, "fence", caller.Fence, "organisations", len(report.Counts), "requests", totalRequests(report.Counts),
+		"late_ms", r.Clock(now).Sub(report.Window.End(r.WindowLength)).Milliseconds(), "after", now.Sub(startedAt))
 }
 
-func sum(counts map[string]int) int {
+func totalRequests(counts map[string]int) int {
 	n := 0
 	for c := range maps.Values(counts) {
 		n += c
--- a/pkg/duties/scaler.go
+++ b/pkg/duties/scaler.go
@@ -17,7 +17,7 @@
 	"headhill.example/headhill/pkg/clock"
 )
 
-// Service is what is known of one whose servers can be ordered.
+// Service describes a service whose servers can be ordered.
 type Service struct {
 	Name    string
 	Offer   autoscale.Offer
@@ -25,61 +25,61 @@
 	Load    autoscale.Load
 }
 
-// ScalerDeps are what a Scaler is built on.
+// ScalerDeps are the dependencies of a Scaler.
 type ScalerDeps struct {
-	// Services lists those whose servers can be ordered, as they are now.
+	// Services returns the current state of the services whose servers can be ordered.
 	Services func(now time.Time) []Service
 	Policy   autoscale.Policy
 }
 
-// Scaler orders servers.
+// Scaler plans and places orders for servers.
 type Scaler struct {
 	ScalerDeps
-	calls  *caller
+	calls  *fencedCaller
 	cloud  Cloud
 	logger log.Logger
 
-	planners guarded[map[string]*autoscale.Planner]
-	books    guarded[map[string]autoscale.HallCounts]
-	status   guarded[map[string]autoscale.Status]
+	planners mutexed[map[string]*autoscale.Planner]
+	ordered  mutexed[map[string]autoscale.HallCounts]
+	status   mutexed[map[string]autoscale.Status]
 	retryAt  time.Time
-	// logged is when the state of a service was last written to the log.
-	logged map[string]time.Time
+	// lastLogged is when the plan of a service was last logged.
+	lastLogged map[string]time.Time
 }
 
-// logEvery is how often the state of a service is logged though nothing is ordered.
-const logEvery = 5 * time.Second
+// logInterval is the interval at which a plan without orders is logged.
+const logInterval = 5 * time.Second
 
-// NewScaler returns a scaler that has ordered nothing yet.
+// NewScaler returns a Scaler without any orders.
 func NewScaler(d ScalerDeps) *Scaler {
-	return &Scaler{ScalerDeps: d, logged: make(map[string]time.Time)}
+	return &Scaler{ScalerDeps: d, lastLogged: make(map[string]time.Time)}
 }
 
-func (s *Scaler) attach(calls *caller, cloud Cloud, logger log.Logger) {
+func (s *Scaler) attach(calls *fencedCaller, cloud Cloud, logger log.Logger) {
 	s.calls, s.cloud, s.logger = calls, cloud, logger
 }
 
-// Ordered are what is ordered, by service.
+// Ordered returns the ordered counts by service.
 func (s *Scaler) Ordered() map[string]autoscale.HallCounts {
-	var books map[string]autoscale.HallCounts
-	s.books.with(func(b *map[string]autoscale.HallCounts) { books = maps.Clone(*b) })
-	return books
+	var ordered map[string]autoscale.HallCounts
+	s.ordered.with(func(b *map[string]autoscale.HallCounts) { ordered = maps.Clone(*b) })
+	return ordered
 }
 
-// Status tells what the last plans rested on.
+// Status returns the last plans by service.
 func (s *Scaler) Status() map[string]autoscale.Status {
 	var status map[string]autoscale.Status
-	s.status.with(func(x *map[string]autoscale.Status) { status = maps.Clone(*x) })
+	s.status.with(func(byService *map[string]autoscale.Status) { status = maps.Clone(*byService) })
 	return status
 }
 
-// take goes on from the books of the holder before.
-func (s *Scaler) take(books map[string]autoscale.HallCounts) {
-	s.books.with(func(b *map[string]autoscale.HallCounts) { *b = maps.Clone(books) })
+// restore loads the ordered counts of the previous holder.
+func (s *Scaler) restore(ordered map[string]autoscale.HallCounts) {
+	s.ordered.with(func(b *map[string]autoscale.HallCounts) { *b = maps.Clone(ordered) })
 	s.planners.with(func(p *map[string]*autoscale.Planner) { *p = nil })
 }
 
-// step plans each service and makes the orders.
+// step plans each service and places the resulting orders.
 func (s *Scaler) step(ctx context.Context) {
 	now := clock.Now()
 	if now.Before(s.retryAt) {
@@ -88,28 +88,28 @@
 	for _, service := range s.Services(now) {
 		p := s.planner(service.Name, now)
 		orders, status := p.Plan(service.Offer, service.Servers, service.Load, now)
-		s.log(service.Name, len(orders) > 0, status, now)
+		s.logPlan(service.Name, len(orders) > 0, status, now)
 		s.placeOrders(ctx, p, orders)
-		s.note(service.Name, p.Ordered(), status)
+		s.recordResult(service.Name, p.Ordered(), status)
 	}
 }
 
 func (s *Scaler) planner(service string, now time.Time) *autoscale.Planner {
-	books := s.Ordered()
+	ordered := s.Ordered()
 	var planner *autoscale.Planner
 	s.planners.with(func(p *map[string]*autoscale.Planner) {
 		if *p == nil {
 			*p = make(map[string]*autoscale.Planner)
 		}
 		if (*p)[service] == nil {
-			(*p)[service] = autoscale.NewPlanner(service, s.Policy, books[service], now)
+			(*p)[service] = autoscale.NewPlanner(service, s.Policy, ordered[service], now)
 		}
 		planner = (*p)[service]
 	})
 	return planner
 }
 
-// placeOrders makes orders. Those after one that failed are planned again.
+// placeOrders places orders. After a failure the remaining ones are undone, to be planned again.
 func (s *Scaler) placeOrders(ctx context.Context, p *autoscale.Planner, orders []autoscale.Order) {
 	failed := false
 	for _, o := range orders {
@@ -118,24 +118,24 @@
 			continue
 		}
 		err := s.placeOrder(ctx, p, o)
-		var none *NoCapacityError
-		failed = err != nil && !errors.As(err, &none)
+		var noCapacity *NoCapacityError
+		failed = err != nil && !errors.As(err, &noCapacity)
 	}
 	if failed {
-		s.retryAt = clock.Now().Add(retryAfter)
+		s.retryAt = clock.Now().Add(retryDelay)
 	}
 }
 
 func (s *Scaler) placeOrder(ctx context.Context, p *autoscale.Planner, o autoscale.Order) error {
-	begun := clock.Now()
-	by, err := s.calls.call(ctx, func(ctx context.Context, by Caller) error {
-		return s.cloud.OrderServers(ctx, by, o)
+	startedAt := clock.Now()
+	caller, err := s.calls.call(ctx, func(ctx context.Context, caller Caller) error {
+		return s.cloud.OrderServers(ctx, caller, o)
 	})
 	now := clock.Now()
-	var none *NoCapacityError
+	var noCapacity *NoCapacityError
 	outcome := "ordered"
 	switch {
-	case errors.As(err, &none):
+	case errors.As(err, &noCapacity):
 		p.MarkUnavailable(o, now)
 		outcome = "ordered elsewhere"
 	case err != nil:
@@ -143,40 +143,40 @@
 		outcome = "planned again"
 	}
 	_ = level.Info(s.logger).Log("msg", "servers ordered", "service", o.Service, "hall", o.Hall, "kind", o.Kind, "count", o.Count, "before", o.Previous,
-		"fence", by.Fence, "after", now.Sub(begun), "outcome", outcome, "err", err)
+		"fence", caller.Fence, "after", now.Sub(startedAt), "outcome", outcome, "err", err)
 	return err
 }
 
-func (s *Scaler) note(service string, book autoscale.HallCounts, status autoscale.Status) {
-	s.books.with(func(b *map[string]autoscale.HallCounts) {
+func (s *Scaler) recordResult(service string, ordered autoscale.HallCounts, status autoscale.Status) {
+	s.ordered.with(func(b *map[string]autoscale.HallCounts) {
 		if *b == nil {
 			*b = make(map[string]autoscale.HallCounts)
 		}
-		(*b)[service] = book
+		(*b)[service] = ordered
 	})
-	s.status.with(func(x *map[string]autoscale.Status) {
-		if *x == nil {
-			*x = make(map[string]autoscale.Status)
+	s.status.with(func(byService *map[string]autoscale.Status) {
+		if *byService == nil {
+			*byService = make(map[string]autoscale.Status)
 		}
-		(*x)[service] = status
+		(*byService)[service] = status
 	})
 }
 
-// log tells what a plan rested on: with each order, and now and then without.
-func (s *Scaler) log(service string, ordered bool, status autoscale.Status, now time.Time) {
-	if !ordered && now.Sub(s.logged[service]) < logEvery {
+// logPlan logs a plan if it has orders or logInterval has passed.
+func (s *Scaler) logPlan(service string, hasOrders bool, status autoscale.Status, now time.Time) {
+	if !hasOrders && now.Sub(s.lastLogged[service]) < logInterval {
 		return
 	}
-	s.logged[service] = now
+	s.lastLogged[service] = now
 	_ = level.Info(s.logger).Log("msg", "servers planned", "service", service, "speed", math.Round(status.Load.PrefillRate), "busy", fmt.Sprintf("%.1f", status.Load.BusyServers), "known", status.Load.Known,
-		"peak", fmt.Sprintf("%.1f", status.ForecastPeak), "wanted", text(status.Targets), "ready", text(status.Ready), "leaving", text(status.Leaving))
+		"peak", fmt.Sprintf("%.1f", status.ForecastPeak), "wanted", formatCounts(status.Targets), "ready", formatCounts(status.Ready), "leaving", formatCounts(status.Leaving))
 }
 
-// text writes the servers of each hall as "hall:on demand+spot".
-func text(b autoscale.HallCounts) string {
+// formatCounts formats the counts of each hall as "hall:on-demand+spot".
+func formatCounts(counts autoscale.HallCounts) string {
 	var list []string
-	for _, hall := range slices.Sorted(maps.Keys(b)) {
-		list = append(list, fmt.Sprintf("%s:%d+%d", hall, b[hall][autoscale.OnDemand], b[hall][autoscale.Spot]))
+	for _, hall := range slices.Sorted(maps.Keys(counts)) {
+		list = append(list, fmt.Sprintf("%s:%d+%d", hall, counts[hall][autoscale.OnDemand], counts[hall][autoscale.Spot]))
 	}
 	return strings.Join(list, ",")
 }
