--- a/pkg/duties/duties_test.go
+++ b/pkg/duties/duties_test.go
@@ -236,7 +236,7 @@
 
 // A failed report must be retried with identical counts, even by the next holder and after further
 // counts have arrived for its window.
-func TestReportIsRepeatedToTheLetter(t *testing.T) {
+func TestReportIsRetriedUnchanged(t *testing.T) {
 	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		a, b := start(), start()
 		cloud.update(func(c *fakeCloud) { c.err = errors.New("unavailable") })
