--- a/pkg/metering/collector.go
+++ b/pkg/metering/collector.go
@@ -8,31 +8,31 @@
 	"headhill.example/headhill/pkg/metering/usagepb"
 )
 
-// sender is one life of a box.
+// sender identifies a process of a box.
 type sender struct {
 	box         string
 	incarnation uint64
 }
 
-// counts are the requests by organisation.
-type counts map[OrganisationHash]uint32
+// requestCounts holds the number of requests by organisation.
+type requestCounts map[OrganisationHash]uint32
 
-// Collector adds up what boxes have counted. Each count of a life of a box only grows, so
-// that the highest one heard stands.
+// Collector sums up the counts published by boxes. The counts of a process only grow, so the
+// highest one received counts.
 type Collector struct {
 	mu      sync.Mutex
-	windows map[Window]map[sender]counts
+	windows map[Window]map[sender]requestCounts
 }
 
 // NewCollector returns an empty collector.
 func NewCollector() *Collector {
-	return &Collector{windows: make(map[Window]map[sender]counts)}
+	return &Collector{windows: make(map[Window]map[sender]requestCounts)}
 }
 
-// maxCount bounds a count that is believed.
+// maxCount caps received counts.
 const maxCount = 1 << 28
 
-// Merge takes in what a box has counted.
+// Merge merges the counts published by a box.
 func (c *Collector) Merge(box string, m *usagepb.Usage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,19 +47,19 @@
 func (c *Collector) add(number Window, from sender, w *usagepb.Window) {
 	senders := c.windows[number]
 	if senders == nil {
-		senders = make(map[sender]counts)
+		senders = make(map[sender]requestCounts)
 		c.windows[number] = senders
 	}
 	if senders[from] == nil {
-		senders[from] = make(counts)
+		senders[from] = make(requestCounts)
 	}
 	for i, key := range w.GetOrganisations() {
-		k := OrganisationHash(key)
-		senders[from][k] = max(senders[from][k], min(w.GetCounts()[i], maxCount))
+		hash := OrganisationHash(key)
+		senders[from][hash] = max(senders[from][hash], min(w.GetCounts()[i], maxCount))
 	}
 }
 
-// Total adds up a window. Boxes is how many lives of boxes counted in it.
+// Total returns the total counts of a window, and the number of processes that contributed.
 func (c *Collector) Total(w Window) (total map[OrganisationHash]int, boxes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	return total, len(c.windows[w])
 }
 
-// FirstWindow is the earliest window in which anything was counted, if there is one.
+// FirstWindow returns the earliest window with any counts. It returns false if there is none.
 func (c *Collector) FirstWindow() (Window, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,9 +82,9 @@
 	return slices.Min(slices.Collect(maps.Keys(c.windows))), true
 }
 
-// Evict drops windows that are long over.
+// Evict removes the windows that are past their retention.
 func (c *Collector) Evict(now Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	forget(c.windows, now)
+	evict(c.windows, now)
 }
--- a/pkg/metering/counter.go
+++ b/pkg/metering/counter.go
@@ -11,89 +11,88 @@
 
 // Counter counts the requests of one box.
 type Counter struct {
-	length time.Duration
-	// clock tells true time.
+	windowLength time.Duration
+	// clock estimates true time.
 	clock func(time.Time) time.Time
 
 	mu      sync.Mutex
-	windows map[Window]map[OrganisationHash]*count
-	// round numbers the messages that were made.
+	windows map[Window]map[OrganisationHash]*requestCount
+	// round numbers the calls of Changes.
 	round uint64
 }
 
-// count is that of one organisation in a window, and the round in which it last changed.
-type count struct {
-	requests uint32
-	changed  uint64
+// requestCount is the count of an organisation in a window, and the round in which it last changed.
+type requestCount struct {
+	requests     uint32
+	changedRound uint64
 }
 
-// NewCounter returns a counter of windows of a length.
-func NewCounter(length time.Duration, clock func(time.Time) time.Time) *Counter {
-	return &Counter{length: length, clock: clock, windows: make(map[Window]map[OrganisationHash]*count)}
+// NewCounter returns a counter for windows of the given length.
+func NewCounter(windowLength time.Duration, clock func(time.Time) time.Time) *Counter {
+	return &Counter{windowLength: windowLength, clock: clock, windows: make(map[Window]map[OrganisationHash]*requestCount)}
 }
 
-// RequestStarted counts a request that began to run.
+// RequestStarted counts a request that started to run.
 func (c *Counter) RequestStarted(organisation string, at time.Time) {
-	w, key := WindowAt(c.clock(at), c.length), HashOrganisation(organisation)
+	w, key := WindowAt(c.clock(at), c.windowLength), HashOrganisation(organisation)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.windows[w]
 	if counts == nil {
-		counts = make(map[OrganisationHash]*count)
+		counts = make(map[OrganisationHash]*requestCount)
 		c.windows[w] = counts
-		forget(c.windows, w)
+		evict(c.windows, w)
 	}
 	n := counts[key]
 	if n == nil {
-		n = &count{}
+		n = &requestCount{}
 		counts[key] = n
 	}
 	n.requests++
-	n.changed = c.round
+	n.changedRound = c.round
 }
 
-// forget drops windows that are long over.
-func forget[T any](windows map[Window]T, now Window) {
+// evict removes windows that are past their retention.
+func evict[T any](windows map[Window]T, now Window) {
 	for w := range windows {
-		if w <= now-windowsKept {
+		if w <= now-retainedWindows {
 			delete(windows, w)
 		}
 	}
 }
 
-// repeats is in how many messages a change is told, as datagrams are lost.
-const repeats = 2
+// sendsPerChange is the number of messages that include a change, as datagrams may be lost.
+const sendsPerChange = 2
 
-// Changes are the counts that changed since the messages before the last few, and those of
-// windows that ended of late, whole.
+// Changes returns the counts that changed recently, and all counts of a window that has just ended.
 func (c *Counter) Changes(now time.Time) []*usagepb.Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current, round := WindowAt(c.clock(now), c.length), c.round
+	current, round := WindowAt(c.clock(now), c.windowLength), c.round
 	c.round++
-	return c.list(func(w Window, n *count) bool {
-		ended := w == current-1 && c.clock(now).Sub(w.End(c.length)) < endedFor
-		return ended || n.changed+repeats > round
+	return c.list(func(w Window, n *requestCount) bool {
+		ended := w == current-1 && c.clock(now).Sub(w.End(c.windowLength)) < resendEndedFor
+		return ended || n.changedRound+sendsPerChange > round
 	})
 }
 
-// endedFor is how long after its end a window is told whole.
-const endedFor = 1100 * time.Millisecond
+// resendEndedFor is how long after its end all counts of a window are sent.
+const resendEndedFor = 1100 * time.Millisecond
 
-// All are the counts of all windows that are remembered.
+// All returns all retained counts.
 func (c *Counter) All() []*usagepb.Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.list(func(Window, *count) bool { return true })
+	return c.list(func(Window, *requestCount) bool { return true })
 }
 
-// list is the counts that are wanted, as they are told. The caller holds the lock.
-func (c *Counter) list(wanted func(Window, *count) bool) []*usagepb.Window {
+// list returns the counts selected by include. The caller must hold c.mu.
+func (c *Counter) list(include func(Window, *requestCount) bool) []*usagepb.Window {
 	var list []*usagepb.Window
 	for _, w := range slices.Sorted(maps.Keys(c.windows)) {
 		m := &usagepb.Window{Number: int64(w)}
 		for key, n := range c.windows[w] {
-			if wanted(w, n) {
+			if include(w, n) {
 				m.Organisations = append(m.Organisations, uint64(key))
 				m.Counts = append(m.Counts, n.requests)
 			}
--- a/pkg/metering/doc.go
+++ b/pkg/metering/doc.go
@@ -1,6 +1,5 @@
-// Package metering counts the requests that began to run, by organisation and window of
-// true time, and reports each window once. Every box counts its own and tells a few
-// boxes that collect. The box that holds the lease closes a window, has its content
-// recorded with the lease, and only then reports it: whoever takes the lease over
-// repeats the same content. What is counted and what not: docs/design/shifted.md.
+// Package metering counts the requests that started to run, by organisation and time window, and
+// reports each window once. Every box publishes its counts to the boxes that collect them. The
+// holder of the lease closes a window, stores its counts with the lease, and only then reports it,
+// so that the next holder repeats the same report. See docs/design/shifted.md for what is counted.
 package metering
--- a/pkg/metering/ledger.go
+++ b/pkg/metering/ledger.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// Report is the content of a window that is closed. It never changes.
+// Report holds the final counts of a closed window.
 type Report struct {
 	Window Window         `json:"window"`
 	Counts map[string]int `json:"counts"`
 }
 
-// Ledger holds what has been closed and not yet reported. It lasts with the lease.
+// Ledger holds the closed windows that have not been reported yet. It is stored with the lease.
 type Ledger struct {
-	// Next is the first window that is not closed; zero before the first one.
+	// Next is the first window that is not closed, or zero if the ledger has not started.
 	Next Window `json:"next"`
-	// Closed are those not reported, in order.
+	// Closed holds the unreported windows in order.
 	Closed []Report `json:"closed,omitempty"`
 }
 
 const (
-	// settle is how long after its end a window is closed: boxes tell a window that has
-	// ended whole twice within it, and each box's estimate of true time may be off a little.
-	settle = 1500 * time.Millisecond
-	// closedMost bounds the windows that wait to be reported: ten minutes of the shortest
-	// windows in use. The state that lasts with the lease stays small.
-	closedMost = 120
-	// skippedMost bounds the windows that are closed at once after a gap in which no box
-	// held the lease; of older ones nothing is remembered.
-	skippedMost = windowsKept - 2
+	// settleTime is how long after its end a window is closed. Boxes send the counts of an ended
+	// window twice in that time; it also covers errors of their clock estimates.
+	settleTime = 1500 * time.Millisecond
+	// maxClosed limits the number of unreported windows, and thus the size of the stored state.
+	maxClosed = 120
+	// maxCatchUp limits the number of windows that are closed after a gap in which no box held the
+	// lease. The counts of older ones have been evicted.
+	maxCatchUp = retainedWindows - 2
 )
 
-// StartAt sets where a ledger begins that has closed nothing yet.
+// StartAt sets the first window of a ledger that has not started.
 func (l *Ledger) StartAt(first Window) {
 	if l.Next == 0 {
 		l.Next = first
 	}
 }
 
-// CloseEnded closes the windows that are over, with their totals. It returns those that were
-// closed, and how many were too long ago to be known.
-func (l *Ledger) CloseEnded(now time.Time, length time.Duration, total func(Window) map[string]int) (closed []Report, skipped int) {
-	current := WindowAt(now, length)
-	if oldest := current - skippedMost; l.Next < oldest {
+// CloseEnded closes the windows that ended at least settleTime ago. It returns their reports, and
+// the number of windows that were skipped because they are too old.
+func (l *Ledger) CloseEnded(now time.Time, windowLength time.Duration, total func(Window) map[string]int) (closed []Report, skipped int) {
+	current := WindowAt(now, windowLength)
+	if oldest := current - maxCatchUp; l.Next < oldest {
 		skipped = int(oldest - l.Next)
 		l.Next = oldest
 	}
-	for ; now.Sub(l.Next.End(length)) >= settle; l.Next++ {
+	for ; now.Sub(l.Next.End(windowLength)) >= settleTime; l.Next++ {
 		closed = append(closed, Report{Window: l.Next, Counts: total(l.Next)})
 	}
 	l.Closed = append(l.Closed, closed...)
-	if over := len(l.Closed) - closedMost; over > 0 {
-		skipped += over
-		l.Closed = l.Closed[over:]
+	if excess := len(l.Closed) - maxClosed; excess > 0 {
+		skipped += excess
+		l.Closed = l.Closed[excess:]
 	}
 	return closed, skipped
 }
 
-// NextReport is the next window to report, if there is one.
+// NextReport returns the oldest unreported window. It returns false if there is none.
 func (l *Ledger) NextReport() (Report, bool) {
 	if len(l.Closed) == 0 {
 		return Report{}, false
@@ -62,7 +61,7 @@
 	return l.Closed[0], true
 }
 
-// MarkReported drops a window that was reported.
+// MarkReported removes a reported window.
 func (l *Ledger) MarkReported(w Window) {
 	if len(l.Closed) > 0 && l.Closed[0].Window == w {
 		l.Closed = l.Closed[1:]
--- a/pkg/metering/publisher.go
+++ b/pkg/metering/publisher.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// kind marks the datagrams of this package.
-	kind = "usage"
-	// tellEvery is how often changes are told. What a box has counted since is lost where it
-	// dies: half of this time on average, a twentieth of a window of five seconds.
-	tellEvery = 500 * time.Millisecond
-	// tellLeast is how often a box that counts nothing tells its wall clock all the same.
-	tellLeast = 2 * time.Second
-	// entriesMost bounds the counts in one datagram; each takes up to 11 bytes.
-	entriesMost = 500
+	// datagramKind is the kind of usage messages.
+	datagramKind = "usage"
+	// publishInterval is the interval at which changed counts are published. Counts since the last
+	// message are lost if the box dies.
+	publishInterval = 500 * time.Millisecond
+	// maxPublishInterval is the interval at which a box without changes publishes its wall clock.
+	maxPublishInterval = 2 * time.Second
+	// maxEntriesPerDatagram limits the number of counts per message; each takes up to 11 bytes.
+	maxEntriesPerDatagram = 500
 )
 
-// PublisherDeps are what a Publisher is built on.
+// PublisherDeps are the dependencies of a Publisher.
 type PublisherDeps struct {
 	Box         string
 	Incarnation uint64
@@ -37,132 +37,132 @@
 	Counter     *Counter
 	Collector   *Collector
 	Clock       *fleetclock.Clock
-	// CollectorAddrs are the addresses of the boxes that collect, this one left out.
+	// CollectorAddrs returns the addresses of the other boxes that collect counts.
 	CollectorAddrs func() []*net.UDPAddr
 	Logger         log.Logger
 }
 
-// Publisher tells the boxes that collect what this one has counted, and takes in what they
-// are told.
+// Publisher sends the counts of this box to the collecting boxes, and merges the counts that it
+// receives.
 type Publisher struct {
 	PublisherDeps
-	// wake has the publisher look at once who collects.
+	// wake triggers an immediate check for new collecting boxes.
 	wake chan struct{}
 
-	// mu guards what follows: a box that ends tells once more beside Run.
-	mu   sync.Mutex
-	last time.Time
-	// known are the addresses that were told before: one that is new lacks what was told until
-	// then.
-	known map[netip.AddrPort]bool
+	// mu guards the fields below, as Flush may run concurrently with Run.
+	mu            sync.Mutex
+	lastPublished time.Time
+	// informed holds the addresses that have been sent all counts so far.
+	informed map[netip.AddrPort]bool
 }
 
-// NewPublisher returns a publisher that hears the port's messages from now on.
+// NewPublisher returns a publisher that handles usage messages received on the port.
 func NewPublisher(d PublisherDeps) *Publisher {
-	t := &Publisher{PublisherDeps: d, wake: make(chan struct{}, 1), known: make(map[netip.AddrPort]bool)}
-	d.Port.Handle(kind, t.receive)
-	return t
+	p := &Publisher{PublisherDeps: d, wake: make(chan struct{}, 1), informed: make(map[netip.AddrPort]bool)}
+	d.Port.Handle(datagramKind, p.handleUsage)
+	return p
 }
 
-func (t *Publisher) receive(d datagram.Message) {
+func (p *Publisher) handleUsage(d datagram.Message) {
 	m := &usagepb.Usage{}
 	if err := proto.Unmarshal(d.Body, m); err != nil {
-		_ = level.Debug(t.Logger).Log("msg", "usage message dropped", "from", d.Box, "err", err)
+		_ = level.Debug(p.Logger).Log("msg", "dropped malformed usage message", "from", d.Box, "err", err)
 		return
 	}
-	t.Clock.AddReading(d.Box, m.GetWallMs(), d.Received)
-	t.Collector.Merge(d.Box, m)
+	p.Clock.AddReading(d.Box, m.GetWallMs(), d.Received)
+	p.Collector.Merge(d.Box, m)
 }
 
-// Wake has the publisher look at once who collects, as when another box holds the lease.
-func (t *Publisher) Wake() {
+// Wake makes the publisher check for new collecting boxes at once, as after a change of the lease
+// holder.
+func (p *Publisher) Wake() {
 	select {
-	case t.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run tells what is counted until ctx ends.
-func (t *Publisher) Run(ctx context.Context) {
-	ticker := time.NewTicker(tellEvery)
+// Run publishes counts until ctx is done.
+func (p *Publisher) Run(ctx context.Context) {
+	ticker := time.NewTicker(publishInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.tell(t.Counter.Changes(clock.Now()))
-		case <-t.wake:
-			t.tell(nil)
+			p.publish(p.Counter.Changes(clock.Now()))
+		case <-p.wake:
+			p.publish(nil)
 		}
 	}
 }
 
-// Flush tells all that was counted, as the box is about to end.
-func (t *Publisher) Flush() { t.tell(t.Counter.All()) }
+// Flush publishes all retained counts, before the box stops.
+func (p *Publisher) Flush() { p.publish(p.Counter.All()) }
 
-// tell tells counts to the boxes that collect, and all that is remembered to those among them
-// that were not told before.
-func (t *Publisher) tell(windows []*usagepb.Window) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// publish sends counts to the collecting boxes, and all retained counts to those among them that
+// are new.
+func (p *Publisher) publish(windows []*usagepb.Window) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := clock.Now()
-	t.Collector.Evict(WindowAt(t.Clock.Now(now), t.Counter.length))
-	t.Collector.Merge(t.Box, t.message(windows, now))
-	known, joined := t.recipients()
-	if len(joined) > 0 {
-		t.send(t.Counter.All(), now, joined)
+	p.Collector.Evict(WindowAt(p.Clock.Now(now), p.Counter.windowLength))
+	p.Collector.Merge(p.Box, p.message(windows, now))
+	informed, uninformed := p.recipients()
+	if len(uninformed) > 0 {
+		p.send(p.Counter.All(), now, uninformed)
 	}
-	if len(windows) > 0 || now.Sub(t.last) >= tellLeast {
-		t.last = now
-		t.send(windows, now, known)
+	if len(windows) > 0 || now.Sub(p.lastPublished) >= maxPublishInterval {
+		p.lastPublished = now
+		p.send(windows, now, informed)
 	}
 }
 
-// recipients are the boxes that collect: those that were told before, and those that were not.
-func (t *Publisher) recipients() (known, joined []*net.UDPAddr) {
+// recipients returns the collecting boxes, split into known and new ones.
+func (p *Publisher) recipients() (informed, uninformed []*net.UDPAddr) {
 	addresses := make(map[netip.AddrPort]bool)
-	for _, a := range t.CollectorAddrs() {
+	for _, a := range p.CollectorAddrs() {
 		address := datagram.AddrPortOf(a)
 		addresses[address] = true
-		if t.known[address] {
-			known = append(known, a)
+		if p.informed[address] {
+			informed = append(informed, a)
 			continue
 		}
-		joined = append(joined, a)
+		uninformed = append(uninformed, a)
 	}
-	t.known = addresses
-	return known, joined
+	p.informed = addresses
+	return informed, uninformed
 }
 
-func (t *Publisher) message(windows []*usagepb.Window, now time.Time) *usagepb.Usage {
-	return &usagepb.Usage{Incarnation: t.Incarnation, WallMs: fleetclock.WallMillis(now), Windows: windows}
+func (p *Publisher) message(windows []*usagepb.Window, now time.Time) *usagepb.Usage {
+	return &usagepb.Usage{Incarnation: p.Incarnation, WallMs: fleetclock.WallMillis(now), Windows: windows}
 }
 
-// send sends counts to some boxes.
-func (t *Publisher) send(windows []*usagepb.Window, now time.Time, to []*net.UDPAddr) {
-	for _, part := range split(windows) {
-		body, err := proto.Marshal(t.message(part, now))
-		if err != nil || !t.Port.Send(kind, body, to...) {
-			_ = level.Warn(t.Logger).Log("msg", "usage not told", "err", err, "bytes", len(body), "windows", len(part))
+// send sends counts to the given boxes.
+func (p *Publisher) send(windows []*usagepb.Window, now time.Time, to []*net.UDPAddr) {
+	for _, part := range splitWindows(windows) {
+		body, err := proto.Marshal(p.message(part, now))
+		if err != nil || !p.Port.Send(datagramKind, body, to...) {
+			_ = level.Warn(p.Logger).Log("msg", "could not send usage", "err", err, "bytes", len(body), "windows", len(part))
 		}
 	}
 }
 
-// split cuts windows into messages that fit a datagram; one at the least.
-func split(windows []*usagepb.Window) [][]*usagepb.Window {
+// splitWindows splits windows into messages that fit a datagram. It returns at least one message.
+func splitWindows(windows []*usagepb.Window) [][]*usagepb.Window {
 	parts := [][]*usagepb.Window{nil}
-	left := entriesMost
+	remaining := maxEntriesPerDatagram
 	for _, w := range windows {
 		for len(w.GetCounts()) > 0 {
-			if left == 0 {
-				parts, left = append(parts, nil), entriesMost
+			if remaining == 0 {
+				parts, remaining = append(parts, nil), maxEntriesPerDatagram
 			}
-			n := min(left, len(w.GetCounts()))
+			n := min(remaining, len(w.GetCounts()))
 			last := len(parts) - 1
 			parts[last] = append(parts[last], &usagepb.Window{Number: w.GetNumber(), Organisations: w.GetOrganisations()[:n], Counts: w.GetCounts()[:n]})
 			w = &usagepb.Window{Number: w.GetNumber(), Organisations: w.GetOrganisations()[n:], Counts: w.GetCounts()[n:]}
-			left -= n
+			remaining -= n
 		}
 	}
 	return parts
--- a/pkg/metering/window.go
+++ b/pkg/metering/window.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Window is the number of a window: window k begins k lengths after the beginning of 1970.
+// Window is the number of a time window, counted from the Unix epoch.
 type Window int64
 
-// WindowAt is the window of a moment of true time.
+// WindowAt returns the window that contains t.
 func WindowAt(t time.Time, length time.Duration) Window {
 	return Window(t.UnixNano() / int64(length))
 }
 
-// End is when the window ends.
+// End returns the end of the window.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*int64(length)).UTC()
 }
 
-// OrganisationHash is an organisation's name as boxes name it to each other, in short.
+// OrganisationHash identifies an organisation in messages between boxes.
 type OrganisationHash uint64
 
-// HashOrganisation is the key of an organisation.
+// HashOrganisation returns the hash of an organisation's name.
 func HashOrganisation(organisation string) OrganisationHash {
 	return OrganisationHash(xxhash.Sum64String(organisation))
 }
 
-// windowsKept is how many windows a box remembers what was counted: those that may still
-// be closed after the store was away for some minutes, three of them with windows of five seconds.
-const windowsKept = 36
+// retainedWindows is the number of windows whose counts are retained, so that windows can still be
+// closed after a store outage.
+const retainedWindows = 36
