--- a/pkg/metering/metering_test.go
+++ b/pkg/metering/metering_test.go
@@ -42,7 +42,7 @@
 
 // Despite lost, duplicated and delayed messages, the collector never exceeds the actual counts, and
 // has all of them after a message sent at the end of the window.
-func TestCountsSurviveTheNetwork(t *testing.T) {
+func TestCountsSurviveMessageLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		collector := NewCollector()
 		expected := make(map[OrganisationHash]int)
@@ -222,4 +222,4 @@
 	})
 }
 
-func TestFormOfUsage(t *testing.T) { formstest.CheckShape(t, "usage", &usagepb.Usage{}) }
+func TestUsageWireForm(t *testing.T) { formstest.CheckShape(t, "usage", &usagepb.Usage{}) }
