--- a/pkg/fleetclock/clock_test.go
+++ b/pkg/fleetclock/clock_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// near is how far an estimate may be off.
-const near = 50 * time.Millisecond
+// tolerance is the accepted error of an estimate.
+const tolerance = 50 * time.Millisecond
 
-func TestMedianOutlivesClocksThatJump(t *testing.T) {
+func TestMedianToleratesClockJumps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
 		now := time.Now()
@@ -23,29 +23,29 @@
 			}
 			c.AddReading(fmt.Sprint("box-", i), wall, now)
 		}
-		assert.WithinDuration(t, now, c.Now(now), near, "four of ten boxes' clocks have jumped")
+		assert.WithinDuration(t, now, c.Now(now), tolerance, "estimate with four of ten clocks off by 2 s")
 	})
 }
 
-func TestOldReadingsDoNotCount(t *testing.T) {
+func TestOldReadingsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
 		for i := range 5 {
 			c.AddReading(fmt.Sprint("box-", i), WallMillis(time.Now())+5000, time.Now())
 		}
-		time.Sleep(2 * heardFor)
-		assert.WithinDuration(t, time.Now(), c.Now(time.Now()), near)
+		time.Sleep(2 * readingMaxAge)
+		assert.WithinDuration(t, time.Now(), c.Now(time.Now()), tolerance)
 	})
 }
 
-// A box that hears few others believes the one that collects, not its own wall clock.
-func TestWordOfTheCollectorCounts(t *testing.T) {
+// A box with few readings must use the collector's estimate instead of its own wall clock.
+func TestCollectorEstimateIsUsedWithFewReadings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
 		c.SetCollectorEstimate(WallMillis(time.Now())+3000, time.Now())
 		time.Sleep(time.Minute)
-		assert.WithinDuration(t, time.Now().Add(3*time.Second), c.Now(time.Now()), near)
-		time.Sleep(2 * toldFor)
-		assert.WithinDuration(t, time.Now(), c.Now(time.Now()), near, "until it is too old")
+		assert.WithinDuration(t, time.Now().Add(3*time.Second), c.Now(time.Now()), tolerance)
+		time.Sleep(2 * collectorEstimateMaxAge)
+		assert.WithinDuration(t, time.Now(), c.Now(time.Now()), tolerance, "estimate after the collector's has expired")
 	})
 }
