--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock measures elapsed time that goes on while the machine is suspended. The steady
-// clock of the runtime stands still meanwhile, so that a lease, a belief or a key would seem
-// younger than it is by the whole suspension. No wall clock decides anything: those jump.
+// Package clock measures elapsed time including suspensions of the machine. The monotonic clock of
+// the runtime stops during a suspension, so that leases and cached state would seem younger than
+// they are. The wall clock is not used, as it may be set.
 //
-// Times of this package compare with each other only. Deadlines of contexts and connections are
-// the runtime's: they are set by what is left, from Until.
+// Times returned by this package are only comparable with each other. Deadlines of contexts and
+// connections use the clock of the runtime; derive them with Until.
 package clock
 
 import (
@@ -14,37 +14,37 @@
 )
 
 const (
-	// sampleFor is how long a sample of the suspended time is used for Now: a decision made
-	// within this time of waking may still take what it knows for younger than it is.
-	sampleFor = 5 * time.Millisecond
-	// shortest is what counts as a suspension. Less may be the time between the readings of two
-	// clocks.
-	shortest = 20 * time.Millisecond
-	// readingMost bounds the time between the readings of one sample, sampleTries how often a
-	// sample is taken that took longer, as the process was not running in between.
-	readingMost = time.Millisecond
-	sampleTries = 5
+	// sampleMaxAge is how long Now reuses a sample of the suspended time. Just after a resume, Now
+	// may lack the suspension for this long.
+	sampleMaxAge = 5 * time.Millisecond
+	// minSuspension is the smallest clock difference that counts as a suspension, as the two clocks
+	// are not read at the same instant.
+	minSuspension = 20 * time.Millisecond
+	// maxReadTime bounds the time between the clock readings of a sample. A sample that took
+	// longer, as the process was preempted, is repeated up to maxSampleAttempts times in total.
+	maxReadTime       = time.Millisecond
+	maxSampleAttempts = 5
 )
 
-// suspension follows the time for which the machine was suspended.
-type suspension struct {
+// suspensionTracker tracks the time for which the machine has been suspended.
+type suspensionTracker struct {
 	read func(clock int32) (time.Duration, bool)
-	// base is how far the clocks were apart at the start.
-	base time.Duration
-	// total is the time suspended since then; sampled is when that was last worked out, on the
-	// runtime's clock, in nanoseconds since the start.
-	total   atomic.Int64
-	sampled atomic.Int64
-	start   time.Time
-	// simulated is added by tests.
+	// baseOffset is the clock offset at the start.
+	baseOffset time.Duration
+	// suspended is the time suspended since the start. sampledAt is when it was last updated, in
+	// nanoseconds of the runtime's clock since the start.
+	suspended atomic.Int64
+	sampledAt atomic.Int64
+	start     time.Time
+	// simulated is the suspended time added by tests.
 	simulated atomic.Int64
 }
 
-var machine = newSuspension(readClock)
+var machine = newSuspensionTracker(readClock)
 
-func newSuspension(read func(int32) (time.Duration, bool)) *suspension {
-	s := &suspension{read: read, start: time.Now()}
-	s.base, _ = s.apart()
+func newSuspensionTracker(read func(int32) (time.Duration, bool)) *suspensionTracker {
+	s := &suspensionTracker{read: read, start: time.Now()}
+	s.baseOffset, _ = s.clockOffset()
 	return s
 }
 
@@ -54,67 +54,68 @@
 	return time.Duration(t.Nano()), err == nil
 }
 
-// apart is how far the clock that counts suspension is ahead of the one that does not. It returns
-// false if that can't be had.
-func (s *suspension) apart() (time.Duration, bool) {
-	for range sampleTries {
-		before, ok1 := s.read(unix.CLOCK_MONOTONIC)
-		counting, ok2 := s.read(unix.CLOCK_BOOTTIME)
-		after, ok3 := s.read(unix.CLOCK_MONOTONIC)
+// clockOffset returns by how much the boot-time clock, which includes suspensions, is ahead of the
+// monotonic clock. It returns false if the clocks cannot be read.
+func (s *suspensionTracker) clockOffset() (time.Duration, bool) {
+	for range maxSampleAttempts {
+		monotonic, ok1 := s.read(unix.CLOCK_MONOTONIC)
+		boottime, ok2 := s.read(unix.CLOCK_BOOTTIME)
+		monotonicAfter, ok3 := s.read(unix.CLOCK_MONOTONIC)
 		if !ok1 || !ok2 || !ok3 {
 			return 0, false
 		}
-		if after-before <= readingMost {
-			return counting - before, true
+		if monotonicAfter-monotonic <= maxReadTime {
+			return boottime - monotonic, true
 		}
 	}
 	return 0, false
 }
 
-// update works the suspended time out anew. It never shrinks.
-func (s *suspension) update() time.Duration {
-	apart, ok := s.apart()
-	s.sampled.Store(int64(time.Since(s.start)))
+// update updates and returns the suspended time, which never decreases.
+func (s *suspensionTracker) update() time.Duration {
+	offset, ok := s.clockOffset()
+	s.sampledAt.Store(int64(time.Since(s.start)))
 	for {
-		total := s.total.Load()
-		if !ok || int64(apart-s.base)+s.simulated.Load() < total+int64(shortest) {
-			return time.Duration(total)
+		suspended := s.suspended.Load()
+		if !ok || int64(offset-s.baseOffset)+s.simulated.Load() < suspended+int64(minSuspension) {
+			return time.Duration(suspended)
 		}
-		now := int64(apart-s.base) + s.simulated.Load()
-		if s.total.CompareAndSwap(total, now) {
-			return time.Duration(now)
+		updated := int64(offset-s.baseOffset) + s.simulated.Load()
+		if s.suspended.CompareAndSwap(suspended, updated) {
+			return time.Duration(updated)
 		}
 	}
 }
 
-// recent is the suspended time as it was of late.
-func (s *suspension) recent() time.Duration {
-	if time.Since(s.start)-time.Duration(s.sampled.Load()) >= sampleFor {
+// cached returns the suspended time, which is at most sampleMaxAge old.
+func (s *suspensionTracker) cached() time.Duration {
+	if time.Since(s.start)-time.Duration(s.sampledAt.Load()) >= sampleMaxAge {
 		return s.update()
 	}
-	return time.Duration(s.total.Load())
+	return time.Duration(s.suspended.Load())
 }
 
-// Now is the elapsed time at this moment, to within some milliseconds after a suspension.
-func Now() time.Time { return time.Now().Add(machine.recent()) }
+// Now returns the elapsed time. Just after a suspension it may lag by it for some milliseconds.
+func Now() time.Time { return time.Now().Add(machine.cached()) }
 
-// NowExact is the elapsed time at this moment, for decisions that may not be taken even just after a
-// suspension.
+// NowExact returns the elapsed time with an up-to-date suspended time, for decisions that must be
+// correct right after a suspension.
 func NowExact() time.Time { return time.Now().Add(machine.update()) }
 
-// Since is the time that has passed since a moment.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time that is left until a moment.
+// Until returns the time remaining until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// TotalSuspended is for how long the machine has been suspended since the process began.
+// TotalSuspended returns how long the machine has been suspended since the process started.
 func TotalSuspended() time.Duration { return machine.update() }
 
-// WallTime is what the wall clock showed at a moment.
-func WallTime(t time.Time) time.Time { return t.Add(-time.Duration(machine.total.Load())).Round(0) }
+// WallTime returns the wall clock time that corresponds to t.
+func WallTime(t time.Time) time.Time { return t.Add(-time.Duration(machine.suspended.Load())).Round(0) }
 
-// SimulateSuspend lets the clock go on as if the machine had been suspended for some time. Tests use it.
+// SimulateSuspend advances the clock as if the machine had been suspended for d. It is meant for
+// tests.
 func SimulateSuspend(d time.Duration) {
 	machine.simulated.Add(int64(d))
 	machine.update()
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -8,44 +8,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// clocks are the two clocks of a machine that may be suspended.
-type clocks struct {
-	steady, counting time.Duration
-	// stopped is for how long the process does not run between two readings.
-	stopped time.Duration
+// fakeClocks simulates the two clocks of a machine that may be suspended.
+type fakeClocks struct {
+	monotonic, boottime time.Duration
+	// processStopped is how long the process is stopped before each reading.
+	processStopped time.Duration
 }
 
-func (c *clocks) read(clock int32) (time.Duration, bool) {
-	c.steady += c.stopped
-	c.counting += c.stopped
+func (c *fakeClocks) read(clock int32) (time.Duration, bool) {
+	c.monotonic += c.processStopped
+	c.boottime += c.processStopped
 	if clock == unix.CLOCK_BOOTTIME {
-		return c.counting, true
+		return c.boottime, true
 	}
-	return c.steady, true
+	return c.monotonic, true
 }
 
-func (c *clocks) suspend(d time.Duration) { c.counting += d }
+func (c *fakeClocks) suspend(d time.Duration) { c.boottime += d }
 
 func TestSuspensionIsCounted(t *testing.T) {
-	c := &clocks{steady: time.Hour, counting: 3 * time.Hour}
-	s := newSuspension(c.read)
-	assert.Zero(t, s.update(), "what was before the start does not count")
+	c := &fakeClocks{monotonic: time.Hour, boottime: 3 * time.Hour}
+	s := newSuspensionTracker(c.read)
+	assert.Zero(t, s.update(), "suspension before the start")
 
 	c.suspend(5 * time.Second)
 	assert.Equal(t, 5*time.Second, s.update())
 	c.suspend(500 * time.Millisecond)
 	assert.Equal(t, 5500*time.Millisecond, s.update())
-	c.suspend(shortest / 2)
-	assert.Equal(t, 5500*time.Millisecond, s.update(), "the clocks are not read at the same moment")
+	c.suspend(minSuspension / 2)
+	assert.Equal(t, 5500*time.Millisecond, s.update(), "differences below minSuspension are ignored")
 }
 
-// A process that is stopped between the readings of two clocks was not suspended.
-func TestStoppedProcessIsNotSuspended(t *testing.T) {
-	c := &clocks{}
-	s := newSuspension(c.read)
-	c.stopped = 10 * time.Second
+// A process that is stopped between two clock readings must not count as suspended.
+func TestStoppedProcessIsNotCountedAsSuspended(t *testing.T) {
+	c := &fakeClocks{}
+	s := newSuspensionTracker(c.read)
+	c.processStopped = 10 * time.Second
 	assert.Zero(t, s.update())
-	c.stopped = 0
+	c.processStopped = 0
 	c.suspend(time.Second)
 	assert.Equal(t, time.Second, s.update())
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-func BenchmarkExact(b *testing.B) {
+func BenchmarkNowExact(b *testing.B) {
 	for b.Loop() {
 		NowExact()
 	}
@@ -75,5 +75,5 @@
 	SimulateSuspend(time.Hour)
 	assert.GreaterOrEqual(t, Since(before), time.Hour)
 	assert.GreaterOrEqual(t, NowExact().Sub(before), time.Hour)
-	assert.WithinDuration(t, time.Now().Round(0), WallTime(Now()), time.Second, "the wall clock is not moved")
+	assert.WithinDuration(t, time.Now().Round(0), WallTime(Now()), time.Second, "wall clock must not include the simulated suspension")
 }
