--- a/pkg/autoscale/hallstate.go
+++ b/pkg/autoscale/hallstate.go
@@ -7,12 +7,12 @@
 	// ready and leaving count the listed servers.
 	ready, leaving PerKind
 	// unavailable marks kinds for which the last order failed or whose servers were lost, lastProbe
-	// is when that was noticed or the kind was last requested again. lastGrown and lastShrunk are
-	// the times of the last order for more and for fewer servers.
-	unavailable [numKinds]bool
-	lastProbe   [numKinds]time.Time
-	lastGrown   [numKinds]time.Time
-	lastShrunk  [numKinds]time.Time
+	// is when that was noticed or the kind was last requested again. lastScaleUp and lastScaleDown
+	// are the times of the last order for more and for fewer servers.
+	unavailable   [numKinds]bool
+	lastProbe     [numKinds]time.Time
+	lastScaleUp   [numKinds]time.Time
+	lastScaleDown [numKinds]time.Time
 }
 
 func (h *hallState) markUnavailable(k Kind, now time.Time) {
--- a/pkg/autoscale/planner.go
+++ b/pkg/autoscale/planner.go
@@ -74,7 +74,7 @@
 // orders. Orders for more servers come before those for fewer.
 func (p *Planner) Plan(offer Offer, servers []Server, load Load, now time.Time) ([]Order, Status) {
 	p.offer = offer
-	p.count(servers)
+	p.countServers(servers)
 	if len(p.ordered) == 0 {
 		p.ordered, p.adoptExisting = make(HallCounts), true
 	}
@@ -118,8 +118,8 @@
 	return n
 }
 
-// count updates the counts of listed servers of each hall.
-func (p *Planner) count(servers []Server) {
+// countServers updates the counts of listed servers of each hall.
+func (p *Planner) countServers(servers []Server) {
 	for name := range p.offer.Prices {
 		h := p.hall(name)
 		h.ready, h.leaving = PerKind{}, PerKind{}
@@ -158,11 +158,11 @@
 		h, ordered := p.hall(name), p.ordered[name]
 		for k := range numKinds {
 			missing := ordered[k] - h.ready[k]
-			if missing < 0 && now.Sub(h.lastShrunk[k]) > leaveMargin {
+			if missing < 0 && now.Sub(h.lastScaleDown[k]) > leaveMargin {
 				ordered[k] = h.ready[k]
 				p.ordered[name] = ordered
 			}
-			overdue := now.Sub(h.lastGrown[k]) > p.offer.Boot+bootMargin
+			overdue := now.Sub(h.lastScaleUp[k]) > p.offer.Boot+bootMargin
 			reclaimed := k == Spot && missing > 0 && h.leaving[k] > 0
 			if missing <= 0 || !overdue && !reclaimed {
 				continue
@@ -241,7 +241,7 @@
 			h.lastProbe[k] = now
 			if wanted := p.wantedWithinLimit(name, k, targets); wanted > p.ordered[name][k] {
 				// The kind counts as available again unless this order is refused too.
-				h.unavailable[k], h.lastGrown[k] = false, now
+				h.unavailable[k], h.lastScaleUp[k] = false, now
 				orders = append(orders, p.recordOrder(name, k, wanted))
 			}
 		}
@@ -266,7 +266,7 @@
 		for k := range numKinds {
 			wanted, ordered := p.wantedWithinLimit(name, k, targets), p.ordered[name][k]
 			if !h.unavailable[k] && wanted-ordered >= minStep(ordered) {
-				h.lastGrown[k] = now
+				h.lastScaleUp[k] = now
 				orders = append(orders, p.recordOrder(name, k, wanted))
 			}
 		}
--- a/pkg/autoscale/policy.go
+++ b/pkg/autoscale/policy.go
@@ -101,7 +101,7 @@
 }
 
 const (
-	// The odds that a request is served late are lateCoefficient * u^5 at a utilization of u.
+	// lateCoefficient * u^5 are the odds that a request is served late at a utilization of u.
 	lateCoefficient = 0.4
 	// replacementMarginSeconds is the time beyond the boot time until servers ordered in place of
 	// lost ones serve.
--- a/pkg/autoscale/scaledown.go
+++ b/pkg/autoscale/scaledown.go
@@ -49,7 +49,7 @@
 	for _, k := range []Kind{OnDemand, Spot} {
 		for _, name := range slices.Backward(p.hallNames()) {
 			if n := p.takeFromBudget(&budget, name, k, targets, now); n > 0 {
-				p.lastScaleDown, p.hall(name).lastShrunk[k] = now, now
+				p.lastScaleDown, p.hall(name).lastScaleDown[k] = now, now
 				orders = append(orders, p.recordOrder(name, k, p.ordered[name][k]-n))
 			}
 		}
--- a/pkg/duties/duties_test.go
+++ b/pkg/duties/duties_test.go
@@ -224,13 +224,13 @@
 func TestLateCountsBeforeFirstHolderAreReported(t *testing.T) {
 	runBoxes(t, func(t *testing.T, cloud *fakeCloud, start func() *testBox) {
 		b := start()
-		previous := metering.WindowAt(time.Now(), windowLength)
-		time.Sleep(time.Until(previous.End(windowLength)) + 100*time.Millisecond)
+		window := metering.WindowAt(time.Now(), windowLength)
+		time.Sleep(time.Until(window.End(windowLength)) + 100*time.Millisecond)
 		b.acquireLease(7, time.Hour, nil)
 		time.Sleep(500 * time.Millisecond)
-		b.countIn(previous, 3)
+		b.countIn(window, 3)
 		time.Sleep(2 * windowLength)
-		assert.Equal(t, map[string]int{"alpha": 3}, cloud.countsByWindow(t)[previous])
+		assert.Equal(t, map[string]int{"alpha": 3}, cloud.countsByWindow(t)[window])
 	})
 }
 
@@ -291,17 +291,17 @@
 // AwaitIdle must not return while a call is in flight, as the lease is released after it.
 func TestAwaitIdleWaitsForCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Deps{Box: "box", Lease: &fakeLease{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
-		assert.True(t, d.AwaitIdle(context.Background()))
-		go d.calls.call(context.Background(), func(context.Context, Caller) error {
+		r := New(Deps{Box: "box", Lease: &fakeLease{fence: 7, until: time.Now().Add(time.Hour)}, Logger: log.NewNopLogger()})
+		assert.True(t, r.AwaitIdle(context.Background()))
+		go r.calls.call(context.Background(), func(context.Context, Caller) error {
 			time.Sleep(300 * time.Millisecond)
 			return nil
 		})
 		synctest.Wait()
-		short, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		assert.False(t, d.AwaitIdle(short))
-		assert.True(t, d.AwaitIdle(context.Background()))
+		assert.False(t, r.AwaitIdle(shortCtx))
+		assert.True(t, r.AwaitIdle(context.Background()))
 	})
 }
 
--- a/pkg/duties/scaler.go
+++ b/pkg/duties/scaler.go
@@ -62,7 +62,7 @@
 // Ordered returns the ordered counts by service.
 func (s *Scaler) Ordered() map[string]autoscale.HallCounts {
 	var ordered map[string]autoscale.HallCounts
-	s.ordered.with(func(b *map[string]autoscale.HallCounts) { ordered = maps.Clone(*b) })
+	s.ordered.with(func(byService *map[string]autoscale.HallCounts) { ordered = maps.Clone(*byService) })
 	return ordered
 }
 
@@ -75,7 +75,7 @@
 
 // restore loads the ordered counts of the previous holder.
 func (s *Scaler) restore(ordered map[string]autoscale.HallCounts) {
-	s.ordered.with(func(b *map[string]autoscale.HallCounts) { *b = maps.Clone(ordered) })
+	s.ordered.with(func(byService *map[string]autoscale.HallCounts) { *byService = maps.Clone(ordered) })
 	s.planners.with(func(p *map[string]*autoscale.Planner) { *p = nil })
 }
 
@@ -142,17 +142,17 @@
 		p.Undo(o)
 		outcome = "planned again"
 	}
-	_ = level.Info(s.logger).Log("msg", "servers ordered", "service", o.Service, "hall", o.Hall, "kind", o.Kind, "count", o.Count, "before", o.Previous,
+	_ = level.Info(s.logger).Log("msg", "server order", "service", o.Service, "hall", o.Hall, "kind", o.Kind, "count", o.Count, "before", o.Previous,
 		"fence", caller.Fence, "after", now.Sub(startedAt), "outcome", outcome, "err", err)
 	return err
 }
 
 func (s *Scaler) recordResult(service string, ordered autoscale.HallCounts, status autoscale.Status) {
-	s.ordered.with(func(b *map[string]autoscale.HallCounts) {
-		if *b == nil {
-			*b = make(map[string]autoscale.HallCounts)
+	s.ordered.with(func(byService *map[string]autoscale.HallCounts) {
+		if *byService == nil {
+			*byService = make(map[string]autoscale.HallCounts)
 		}
-		(*b)[service] = ordered
+		(*byService)[service] = ordered
 	})
 	s.status.with(func(byService *map[string]autoscale.Status) {
 		if *byService == nil {
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -114,8 +114,8 @@
 		"killed": func(sim *simulation, b *simulatedBox) { sim.kill(b, time.Minute) },
 		"frozen": func(sim *simulation, b *simulatedBox) { b.frozenUntil = sim.now.Add(time.Minute) },
 		"isolated from store, peers and cloud": func(sim *simulation, b *simulatedBox) {
-			u := sim.now.Add(time.Minute)
-			b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil = u, u, u
+			until := sim.now.Add(time.Minute)
+			b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil = until, until, until
 		},
 		"isolated from the store only": func(sim *simulation, b *simulatedBox) { b.storeCutUntil = sim.now.Add(time.Minute) },
 		"killed together with two other boxes": func(sim *simulation, b *simulatedBox) {
--- a/pkg/metering/collector.go
+++ b/pkg/metering/collector.go
@@ -60,13 +60,13 @@
 }
 
 // Total returns the total counts of a window, and the number of processes that contributed.
-func (c *Collector) Total(w Window) (total map[OrganisationHash]int, boxes int) {
+func (c *Collector) Total(w Window) (total map[OrganisationHash]int, processes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	total = make(map[OrganisationHash]int)
 	for _, counts := range c.windows[w] {
-		for key, n := range counts {
-			total[key] += int(n)
+		for hash, n := range counts {
+			total[hash] += int(n)
 		}
 	}
 	return total, len(c.windows[w])
--- a/pkg/metering/counter.go
+++ b/pkg/metering/counter.go
@@ -34,7 +34,7 @@
 
 // RequestStarted counts a request that started to run.
 func (c *Counter) RequestStarted(organisation string, at time.Time) {
-	w, key := WindowAt(c.clock(at), c.windowLength), HashOrganisation(organisation)
+	w, hash := WindowAt(c.clock(at), c.windowLength), HashOrganisation(organisation)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.windows[w]
@@ -43,10 +43,10 @@
 		c.windows[w] = counts
 		evict(c.windows, w)
 	}
-	n := counts[key]
+	n := counts[hash]
 	if n == nil {
 		n = &requestCount{}
-		counts[key] = n
+		counts[hash] = n
 	}
 	n.requests++
 	n.changedRound = c.round
@@ -91,9 +91,9 @@
 	var list []*usagepb.Window
 	for _, w := range slices.Sorted(maps.Keys(c.windows)) {
 		m := &usagepb.Window{Number: int64(w)}
-		for key, n := range c.windows[w] {
+		for hash, n := range c.windows[w] {
 			if include(w, n) {
-				m.Organisations = append(m.Organisations, uint64(key))
+				m.Organisations = append(m.Organisations, uint64(hash))
 				m.Counts = append(m.Counts, n.requests)
 			}
 		}
--- a/pkg/metering/ledger.go
+++ b/pkg/metering/ledger.go
@@ -35,7 +35,7 @@
 }
 
 // CloseEnded closes the windows that ended at least settleTime ago. It returns their reports, and
-// the number of windows that were skipped because they are too old.
+// the number of windows that were dropped as too old or beyond maxClosed.
 func (l *Ledger) CloseEnded(now time.Time, windowLength time.Duration, total func(Window) map[string]int) (closed []Report, skipped int) {
 	current := WindowAt(now, windowLength)
 	if oldest := current - maxCatchUp; l.Next < oldest {
--- a/pkg/metering/metering_test.go
+++ b/pkg/metering/metering_test.go
@@ -69,8 +69,8 @@
 				collector.Merge("box", inbox[at])
 			}
 			total, _ := collector.Total(window)
-			for key, n := range total {
-				require.LessOrEqual(t, n, expected[key])
+			for hash, n := range total {
+				require.LessOrEqual(t, n, expected[hash])
 			}
 		}
 		for i, c := range counters {
