--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -49,10 +49,10 @@
 // Limiter bounds what this box sends to servers that take few requests from all boxes together.
 type Limiter interface {
 	// Allows tells whether a request may go now, Take counts one that goes.
-	Allows(server routing.Life, l fleetlimit.Limit, now time.Time) bool
-	Take(server routing.Life, l fleetlimit.Limit, now time.Time)
-	// Outlook is how many requests a second may go, and when the next one may.
-	Outlook(server routing.Life, l fleetlimit.Limit, now time.Time) (perSecond float64, next time.Time)
+	Allows(server routing.Incarnation, l fleetlimit.Limit, now time.Time) bool
+	Take(server routing.Incarnation, l fleetlimit.Limit, now time.Time)
+	// NextAllowed is how many requests a second may go, and when the next one may.
+	NextAllowed(server routing.Incarnation, l fleetlimit.Limit, now time.Time) (perSecond float64, next time.Time)
 }
 
 // SetLimiter sets what bounds requests to limited servers. It is set before the first call.
@@ -79,7 +79,7 @@
 
 // load is what this box has the server do.
 func (s *server) load() Load {
-	return Load{Backlog: s.backlog, Running: s.running, Memory: s.memory}
+	return Load{Backlog: s.backlog, Running: s.running, MemoryTokens: s.memory}
 }
 
 // New returns a balancer that knows nothing yet.
@@ -111,7 +111,7 @@
 	l.state.running++
 	l.state.probing = l.state.probing || l.probe
 	if chosen.limited {
-		b.limiter.Take(chosen.Life(), b.limitNow(&q, chosen.Server, now), now)
+		b.limiter.Take(chosen.Incarnation(), b.limitNow(&q, chosen.Server, now), now)
 	}
 	if q.Engine {
 		l.occupy(q, &chosen, &p, now)
@@ -124,9 +124,9 @@
 	s := c.state
 	return Inputs{
 		Candidates: len(q.Candidates), Running: s.running, Backlog: s.backlog,
-		OthersRunning: c.load.Running - s.running, OthersBacklog: c.load.Backlog - s.backlog, LoadAge: b.loadAge(now),
-		Prefix: q.prefix(), Home: c.home, Cached: c.cached, Transferred: c.transferred, Prefill: c.toPrefill(q),
-		Interactive: p.lane.interactive, Lane: p.lane.size, Failures: c.failures,
+		PeerRunning: c.load.Running - s.running, PeerBacklog: c.load.Backlog - s.backlog, LoadAge: b.loadAge(now),
+		Prefix: q.prefix(), Home: c.home, CachedTokens: c.cached, TransferredTokens: c.transferred, PrefillTokens: c.toPrefill(q),
+		Interactive: p.lane.interactive, LaneSize: p.lane.size, FailureRatio: c.failures,
 	}
 }
 
