--- a/pkg/lease/manager.go
+++ b/pkg/lease/manager.go
@@ -36,7 +36,7 @@
 	// Announcement returns the payload that the holder announces with each renewal, OnAnnouncement
 	// receives it on the other boxes.
 	Announcement   func() []byte
-	OnAnnouncement func(told []byte, received time.Time)
+	OnAnnouncement func(payload []byte, received time.Time)
 	// OnHolderChange is called when another box announces a new holder.
 	OnHolderChange func(box string)
 	Logger         log.Logger
