--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -111,8 +111,8 @@
 	if tokens == 0 {
 		return c
 	}
-	c.FirstToken = x.req.firstToken.Sub(started)
-	c.Between = x.req.between()
+	c.TimeToFirstToken = x.req.firstToken.Sub(started)
+	c.InterTokenLatency = x.req.between()
 	return c
 }
 
@@ -146,7 +146,7 @@
 			}
 			return x.finish()
 		}
-		err = x.event(data, events.Buffered())
+		err = x.event(data, events.HasBuffered())
 		if isCaller(err) {
 			return err
 		}
--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -31,7 +31,7 @@
 // urgent requests first, and only what is before a request counts, the least urgent are refused
 // first. It guards against queues that fill with what is given up in them: with engines for 30 in
 // 100 of a load, 168 requests waited in vain in 20 s of played load in place of 2,503, and urgent
-// ones were all served (TestOverloadedServiceRefusesTheLeastUrgent).
+// ones were all served (TestOverloadedServiceRefusesLeastUrgent).
 func (x *exchange) admit() error {
 	if !x.service.Engine {
 		return nil
@@ -43,17 +43,17 @@
 		// An outage is waited for.
 		return nil
 	}
-	turn, known := x.gateway.Balancer.Turn(x.service.Name, x.rank(), len(servers), now)
+	turn, known := x.gateway.Balancer.EstimateQueue(x.service.Name, x.rank(), len(servers), now)
 	most := x.waitMost()
-	x.expectedWait, x.keepPlaces = turn.Wait, turn.Urgent
+	x.expectedWait, x.keepPlaces = turn.Wait, turn.MoreUrgentSeen
 	late := known && most > 0 && turn.Wait > most
-	if !late && (turn.Passes || x.gateway.Balancer.HasPlace(servers, x.places(), now)) {
+	if !late && (turn.Overtakes || x.gateway.Balancer.HasFreeSlot(servers, x.places(), now)) {
 		return nil
 	}
 	after := x.comeBack(turn.Wait)
 	_ = level.Info(x.gateway.Logger).Log("msg", "not admitted", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
 		"late", late, "wait_ms", turn.Wait.Milliseconds(), "most_ms", most.Milliseconds(), "servers", len(servers), "come_back_ms", after.Milliseconds())
-	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), After: after}
+	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), RetryAfter: after}
 }
 
 // waitMost is how long those before the request may take the engines.
--- a/pkg/quarantine/persister.go
+++ b/pkg/quarantine/persister.go
@@ -177,7 +177,7 @@
 func (p *Persister) load(ctx context.Context) {
 	p.waitFor(ctx, maxPeerWait, func() bool { return len(p.Gossiper.Peers()) > 0 })
 	// With a uniform delay, most boxes of a large fleet would read the store.
-	p.waitFor(ctx, minReadDelay+pause.Suppressed(readDelaySpread, len(p.Gossiper.Peers())+1), p.Gossiper.Synced)
+	p.waitFor(ctx, minReadDelay+pause.SuppressionDelay(readDelaySpread, len(p.Gossiper.Peers())+1), p.Gossiper.Synced)
 	for !p.Gossiper.Synced() && ctx.Err() == nil {
 		s, err := p.read(ctx)
 		if err != nil {
