--- a/pkg/signals/signals.go
+++ b/pkg/signals/signals.go
@@ -55,7 +55,7 @@
 	limitTTL      = 15 * time.Second
 	limitRequests = 4
 	// probeRequestsPerSecond is the minimum rate at which a limited server gets requests: only its answers
-	// tell when the limit has ended.
+	// show when the limit has ended.
 	probeRequestsPerSecond = 0.1
 	// leavingTTL is how long a server is considered to be draining; by then it has stopped.
 	leavingTTL = time.Hour
