--- a/pkg/backend/client.go
+++ b/pkg/backend/client.go
@@ -31,8 +31,8 @@
 	Header    http.Header
 	Body      []byte
 	RequestID string
-	// Once marks a call that must not be repeated.
-	Once bool
+	// AtMostOnce marks a call that must not be repeated.
+	AtMostOnce bool
 	// Fence is the claim's fence, "" if there is none.
 	Fence string
 }
@@ -64,7 +64,7 @@
 func (c *Client) Close() { c.stop() }
 
 // Do makes a call and returns when the answer's header is there. The error is
-// *NotStartedError or *BrokenError. Cancelling ctx ends the call at the server.
+// *NotStartedError or *InterruptedError. Cancelling ctx ends the call at the server.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := newWatchdog(c.silence, cancel)
@@ -75,7 +75,7 @@
 		if upstream.IsNotSent(err) {
 			return nil, &NotStartedError{Server: call.Server.Name, Cause: err}
 		}
-		return nil, &BrokenError{Server: call.Server.Name, Cause: err}
+		return nil, &InterruptedError{Server: call.Server.Name, Cause: err}
 	}
 	body := &watchedBody{response: resp, watchdog: w, ctx: ctx, cancel: cancel}
 	if err := refusal(call, resp); err != nil {
@@ -98,7 +98,7 @@
 	}
 	return upstream.Request{
 		ServerKey: call.Server.Address, Address: call.Server.Address, Method: call.Method, Target: call.Path,
-		Host: call.Server.Address, Header: h, Body: call.Body, NewConnection: call.Once,
+		Host: call.Server.Address, Header: h, Body: call.Body, NewConnection: call.AtMostOnce,
 	}
 }
 
@@ -140,7 +140,7 @@
 }
 
 func newWatchdog(after time.Duration, cancel context.CancelCauseFunc) *watchdog {
-	t := time.AfterFunc(after, func() { cancel(&SilentError{After: after}) })
+	t := time.AfterFunc(after, func() { cancel(&AnswerTimeoutError{After: after}) })
 	return &watchdog{timer: t, after: after}
 }
 
--- a/pkg/backend/client_test.go
+++ b/pkg/backend/client_test.go
@@ -60,7 +60,7 @@
 		for n := range 5 {
 			resp, err := c.Do(t.Context(), Call{
 				Server: config.Server{Name: "s", Address: address}, Method: http.MethodPost, Path: "/x",
-				Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(body), Once: true,
+				Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(body), AtMostOnce: true,
 			})
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, resp.Body)
@@ -77,8 +77,8 @@
 	c := NewClient(100 * time.Millisecond)
 	defer c.Close()
 	_, err = c.Do(t.Context(), Call{Server: config.Server{Name: "s", Address: ln.Addr().String()}, Method: http.MethodGet, Path: "/"})
-	var broken *BrokenError
-	var silent *SilentError
+	var broken *InterruptedError
+	var silent *AnswerTimeoutError
 	require.ErrorAs(t, err, &broken)
 	require.ErrorAs(t, err, &silent)
 }
--- a/pkg/backend/errors.go
+++ b/pkg/backend/errors.go
@@ -21,23 +21,23 @@
 
 func (e *NotStartedError) Unwrap() error { return e.Cause }
 
-// BrokenError says that the exchange broke after something was written: the call
+// InterruptedError says that the exchange broke after something was written: the call
 // may have run.
-type BrokenError struct {
+type InterruptedError struct {
 	Server string
 	Cause  error
 }
 
-func (e *BrokenError) Error() string {
+func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("exchange with server %s broke: %v: the call may have run; look at the server's own record before repeating it", e.Server, e.Cause)
 }
 
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// SilentError says that a server sent nothing for too long.
-type SilentError struct{ After time.Duration }
+// AnswerTimeoutError says that a server sent nothing for too long.
+type AnswerTimeoutError struct{ After time.Duration }
 
-func (e *SilentError) Error() string {
+func (e *AnswerTimeoutError) Error() string {
 	return fmt.Sprintf("no answer within %s: raise [limits] answer-timeout if that is normal", e.After)
 }
 
--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -120,7 +120,7 @@
 	b.runner = shard.NewRunner(b.self, b.store, b.tracker, b.backend, logs.For(logflags.Shard))
 	b.broker = shard.NewBroker(b.self, b.store, b.tracker, b.runner, logs.For(logflags.Shard))
 	b.links = peer.NewLinks(b.ctx, b.self, b.security, b.broker, logs.For(logflags.Peer))
-	b.broker.Attach(b.links)
+	b.broker.SetSender(b.links)
 	b.claims = claims.NewClient(b.platform, s.Platform.Prefix, b.tracker, logs.For(logflags.Claims))
 	b.claims.Attach(b.links)
 	b.entry = entry.NewHandler(entry.Deps{
@@ -206,4 +206,4 @@
 const heldCheck = 10 * time.Millisecond
 
 // InProgress returns the number of callers' requests in progress.
-func (b *Box) InProgress() int { return b.entry.Running() }
+func (b *Box) InProgress() int { return b.entry.InFlight() }
--- a/pkg/box/stop.go
+++ b/pkg/box/stop.go
@@ -16,14 +16,14 @@
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
-	level.Info(b.logger).Log("msg", "stopping", "in_progress", b.entry.Running(), "limit", b.settings.Limits.Stop)
+	level.Info(b.logger).Log("msg", "stopping", "in_progress", b.entry.InFlight(), "limit", b.settings.Limits.Stop)
 	b.tracker.SetServing(time.Now(), false)
 	b.links.Beat()
 	ctx, cancel := b.stopContext(ctx)
 	defer cancel()
 	pause.For(ctx, b.settings.Limits.StopNotice)
 	if err := b.callers.Shutdown(ctx); err != nil {
-		level.Warn(b.logger).Log("msg", "planned stop cut short", "cut", b.entry.Running(), "err", err)
+		level.Warn(b.logger).Log("msg", "planned stop cut short", "cut", b.entry.InFlight(), "err", err)
 		b.callers.Close()
 	}
 	b.drain(ctx)
@@ -43,7 +43,7 @@
 
 // drain waits until no reservation of this box is left with any owner.
 func (b *Box) drain(ctx context.Context) {
-	for b.broker.Held() > 0 && ctx.Err() == nil {
+	for b.broker.ReservationCount() > 0 && ctx.Err() == nil {
 		pause.For(ctx, heldCheck)
 	}
 }
--- a/pkg/entry/errors.go
+++ b/pkg/entry/errors.go
@@ -132,7 +132,7 @@
 )
 
 func isSilent(err error) bool {
-	var e *backend.SilentError
+	var e *backend.AnswerTimeoutError
 	return errors.As(err, &e)
 }
 
--- a/pkg/entry/exchange_test.go
+++ b/pkg/entry/exchange_test.go
@@ -106,7 +106,7 @@
 			_, err := x.do(ctx, servers[0])
 			if err != nil {
 				crashes++
-				var broken *backend.BrokenError
+				var broken *backend.InterruptedError
 				require.ErrorAs(t, err, &broken, "byte %d", at)
 				_, err = x.do(ctx, servers[1])
 			}
@@ -181,7 +181,7 @@
 	q := &request{begun: true, opaque: true, service: config.Service{Kind: config.KindEngine}}
 	require.True(t, q.stuck())
 	h := &Handler{budget: newRetryBudget()}
-	require.False(t, h.mayRetry(t.Context(), q, &backend.BrokenError{}, 0))
+	require.False(t, h.mayRetry(t.Context(), q, &backend.InterruptedError{}, 0))
 }
 
 func TestForwardedHeaders(t *testing.T) {
--- a/pkg/entry/handler.go
+++ b/pkg/entry/handler.go
@@ -73,8 +73,8 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-// Running returns the number of requests in progress.
-func (h *Handler) Running() int { return int(h.running.Load()) }
+// InFlight returns the number of requests in progress.
+func (h *Handler) InFlight() int { return int(h.running.Load()) }
 
 // Server returns an http.Server with the settings' bounds.
 func (h *Handler) Server() *http.Server {
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -55,21 +55,21 @@
 func (x *plainExchange) do(ctx context.Context, s config.Server) (scheduler.Completion, error) {
 	started := time.Now()
 	resp, err := x.h.Backend.Do(ctx, backend.Call{
-		Server:    s,
-		Method:    x.r.Method,
-		Path:      x.path(),
-		Header:    forwarded(x.r.Header),
-		Body:      x.req.body,
-		RequestID: x.req.id,
-		Once:      x.req.once,
-		Fence:     x.req.fence,
+		Server:     s,
+		Method:     x.r.Method,
+		Path:       x.path(),
+		Header:     forwarded(x.r.Header),
+		Body:       x.req.body,
+		RequestID:  x.req.id,
+		AtMostOnce: x.req.once,
+		Fence:      x.req.fence,
 	})
 	if err != nil {
 		return scheduler.Completion{}, err
 	}
 	defer resp.Body.Close()
 	if resp.Status >= 502 && !x.req.once {
-		return scheduler.Completion{}, &backend.BrokenError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
+		return scheduler.Completion{}, &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
 	}
 	c := scheduler.Completion{OutputTokens: 1, TimeToFirstToken: time.Since(started)}
 	if err := x.pass(s, resp); err != nil {
@@ -94,7 +94,7 @@
 func (x *plainExchange) pass(s config.Server, resp *backend.Response) error {
 	head, err := io.ReadAll(io.LimitReader(resp.Body, bufferMost))
 	if err != nil {
-		return &backend.BrokenError{Server: s.Name, Cause: err}
+		return &backend.InterruptedError{Server: s.Name, Cause: err}
 	}
 	outcome := api.OutcomeDone
 	if resp.Status >= 500 && x.req.once {
@@ -116,7 +116,7 @@
 		return caller.err
 	}
 	if err != nil {
-		return &backend.BrokenError{Server: s.Name, Cause: err}
+		return &backend.InterruptedError{Server: s.Name, Cause: err}
 	}
 	return nil
 }
--- a/pkg/entry/run.go
+++ b/pkg/entry/run.go
@@ -20,7 +20,7 @@
 
 // run dispatches a request until an exchange succeeds or nothing more may be
 // tried. A request is in one exchange at a time.
-func (h *Handler) run(ctx context.Context, req *request, q shard.Query, do exchange) error {
+func (h *Handler) run(ctx context.Context, req *request, q shard.SlotRequest, do exchange) error {
 	shards := shard.Eligible(h.Store.Current(), h.Tracker.View(), req.service.Name, h.Hall)
 	for n := 0; ; n++ {
 		err := h.runOnce(ctx, req, shards, q, do)
@@ -39,7 +39,7 @@
 }
 
 // runOnce waits for a slot and makes one exchange in it.
-func (h *Handler) runOnce(ctx context.Context, req *request, shards []config.Shard, q shard.Query, do exchange) error {
+func (h *Handler) runOnce(ctx context.Context, req *request, shards []config.Shard, q shard.SlotRequest, do exchange) error {
 	slot, err := h.Broker.Acquire(ctx, shards, q)
 	if err != nil {
 		return err
@@ -49,12 +49,12 @@
 	}
 	server, ok := h.Store.Current().Server(slot.Server)
 	if !ok {
-		slot.GiveBack()
+		slot.Release()
 		return &backend.NotStartedError{Server: slot.Server, Cause: errors.New("it was just removed")}
 	}
 	slot.Start()
 	if err := h.claim(ctx, req); err != nil {
-		slot.GiveBack()
+		slot.Release()
 		return err
 	}
 	req.servers = append(req.servers, server.Name)
@@ -81,7 +81,7 @@
 // is repeated only if it is repeatable, and only if the caller can still get one
 // whole answer.
 func (h *Handler) mayRetry(ctx context.Context, req *request, err error, n int) bool {
-	var broken *backend.BrokenError
+	var broken *backend.InterruptedError
 	switch {
 	case ctx.Err() != nil, n+1 >= attemptsMost:
 		return false
@@ -143,8 +143,8 @@
 }
 
 // query is the reservation of a request.
-func (h *Handler) query(req *request, promptTokens int, prefix []uint64) shard.Query {
-	q := shard.Query{
+func (h *Handler) query(req *request, promptTokens int, prefix []uint64) shard.SlotRequest {
+	q := shard.SlotRequest{
 		Class:        req.class.Name,
 		Organisation: req.org.Name,
 		PromptTokens: promptTokens,
--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -69,15 +69,15 @@
 	}
 	started := time.Now()
 	resp, err := x.h.Backend.Do(ctx, backend.Call{
-		Server:    s,
-		Engine:    true,
-		Method:    http.MethodPost,
-		Path:      pathChat,
-		Header:    http.Header{"Content-Type": {"application/json"}},
-		Body:      body,
-		RequestID: x.req.id,
-		Once:      x.req.once,
-		Fence:     x.req.fence,
+		Server:     s,
+		Engine:     true,
+		Method:     http.MethodPost,
+		Path:       pathChat,
+		Header:     http.Header{"Content-Type": {"application/json"}},
+		Body:       body,
+		RequestID:  x.req.id,
+		AtMostOnce: x.req.once,
+		Fence:      x.req.fence,
 	})
 	if err != nil {
 		return scheduler.Completion{}, err
@@ -86,11 +86,11 @@
 	before := x.answer.tokens
 	switch {
 	case resp.Status >= 500:
-		err = &backend.BrokenError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
+		err = &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
 	case resp.Status != http.StatusOK && !x.answer.started:
 		err = x.whole(s, resp)
 	case resp.Status != http.StatusOK:
-		err = &backend.BrokenError{Server: s.Name, Cause: fmt.Errorf("status %d in the middle of an answer", resp.Status)}
+		err = &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d in the middle of an answer", resp.Status)}
 	case x.body.stream:
 		err = x.stream(s, resp)
 	default:
@@ -126,7 +126,7 @@
 
 // stream passes events on until the answer is whole.
 func (x *chatExchange) stream(s config.Server, resp *backend.Response) error {
-	broken := func(err error) error { return &backend.BrokenError{Server: s.Name, Cause: err} }
+	broken := func(err error) error { return &backend.InterruptedError{Server: s.Name, Cause: err} }
 	events := sse.NewReader(resp.Body)
 	for {
 		data, err := events.Next()
@@ -273,7 +273,7 @@
 		err = &backend.MismatchError{Want: x.answer.id, Got: a.ID}
 	}
 	if err != nil {
-		return &backend.BrokenError{Server: s.Name, Cause: err}
+		return &backend.InterruptedError{Server: s.Name, Cause: err}
 	}
 	x.req.token()
 	x.req.tokens = max(1, a.Usage.CompletionTokens)
--- a/pkg/shard/broker.go
+++ b/pkg/shard/broker.go
@@ -69,8 +69,8 @@
 	asking bool
 }
 
-// Query is a request for a slot.
-type Query struct {
+// SlotRequest is a request for a slot.
+type SlotRequest struct {
 	Class        string
 	Organisation string
 	PromptTokens int
@@ -82,7 +82,7 @@
 
 // reservation is a query at one shard.
 type reservation struct {
-	Query
+	SlotRequest
 	shard   string
 	seq     uint64
 	granted bool
@@ -96,7 +96,7 @@
 	refusal *RefusedError
 }
 
-// NewBroker returns a broker; Attach must be called before it is used.
+// NewBroker returns a broker; SetSender must be called before it is used.
 func NewBroker(self *peer.Self, store *config.Store, tracker *membership.Tracker, local peer.Owner, logger log.Logger) *Broker {
 	b := &Broker{
 		self:    self,
@@ -112,8 +112,8 @@
 	return b
 }
 
-// Attach gives the broker its links.
-func (b *Broker) Attach(s Sender) {
+// SetSender gives the broker its links.
+func (b *Broker) SetSender(s Sender) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sender = s
@@ -232,11 +232,11 @@
 }
 
 // reserve asks one shard's owner; the outcome comes on decided.
-func (b *Broker) reserve(shard string, q Query, decided chan<- outcome) *reservation {
+func (b *Broker) reserve(shard string, q SlotRequest, decided chan<- outcome) *reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	r := &reservation{Query: q, shard: shard, seq: b.seq, decided: decided}
+	r := &reservation{SlotRequest: q, shard: shard, seq: b.seq, decided: decided}
 	s := b.view(shard)
 	s.held[r.seq] = r
 	b.send(s.owner, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Reserve{Reserve: r.message()}})
@@ -334,8 +334,8 @@
 	})
 }
 
-// Held counts the reservations of this box, waiting and granted.
-func (b *Broker) Held() int {
+// ReservationCount counts the reservations of this box, waiting and granted.
+func (b *Broker) ReservationCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
--- a/pkg/shard/runner.go
+++ b/pkg/shard/runner.go
@@ -19,8 +19,8 @@
 
 const (
 	tickEvery = 25 * time.Millisecond
-	// ReportEvery is how often an owner asks its servers for their load.
-	ReportEvery = 500 * time.Millisecond
+	// LoadReportInterval is how often an owner asks its servers for their load.
+	LoadReportInterval = 500 * time.Millisecond
 )
 
 // Prober asks a backend server for its load.
@@ -214,7 +214,7 @@
 
 // reports polls the servers of the owned shards.
 func (r *Runner) reports(ctx context.Context) {
-	t := time.NewTicker(ReportEvery)
+	t := time.NewTicker(LoadReportInterval)
 	defer t.Stop()
 	for {
 		var wg conc.WaitGroup
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -148,7 +148,7 @@
 		b.self = peer.NewSelf(r.ID, b.tracker, func() uint64 { return 1 })
 		b.runner = NewRunner(b.self, store, b.tracker, idle{}, log.NewNopLogger())
 		b.broker = NewBroker(b.self, store, b.tracker, b.runner, log.NewNopLogger())
-		b.broker.Attach(b)
+		b.broker.SetSender(b)
 		net.boxes[r.ID] = b
 	}
 	for _, b := range net.boxes {
@@ -198,7 +198,7 @@
 
 func (n *network) acquire(ctx context.Context, box, class string) (*Slot, error) {
 	b := n.boxes[box].broker
-	q := Query{Class: class, Organisation: "o", PromptTokens: 10, Arrival: time.Now(), Deadline: time.Now().Add(time.Minute)}
+	q := SlotRequest{Class: class, Organisation: "o", PromptTokens: 10, Arrival: time.Now(), Deadline: time.Now().Add(time.Minute)}
 	return b.Acquire(ctx, b.store.Current().Shards(), q)
 }
 
@@ -505,7 +505,7 @@
 		return fmt.Errorf("%d counted as running, %d free", running, free)
 	}
 	for id, b := range n.boxes {
-		if b.broker.Held() != 0 {
+		if b.broker.ReservationCount() != 0 {
 			return errors.New(id + " still holds reservations")
 		}
 	}
--- a/pkg/shard/slot.go
+++ b/pkg/shard/slot.go
@@ -13,7 +13,7 @@
 const reserveIn = 2
 
 // Slot is a grant in this box's hands: the right to run one request on Server.
-// It ends with exactly one call of Finish or GiveBack.
+// It ends with exactly one call of Finish or Release.
 type Slot struct {
 	Server string
 	broker *Broker
@@ -42,14 +42,14 @@
 	}}})
 }
 
-// GiveBack returns a slot that was not used.
-func (s *Slot) GiveBack() { s.broker.cancel(s.res) }
+// Release returns a slot that was not used.
+func (s *Slot) Release() { s.broker.cancel(s.res) }
 
 // Acquire waits for a slot in one of the shards: it reserves in two at a time,
 // takes the first grant and releases the rest. It asks every shard before the
 // request is refused, so that lower-tier work anywhere gives way first. The
 // error is *RefusedError, or ctx's when the caller went away.
-func (b *Broker) Acquire(ctx context.Context, shards []config.Shard, q Query) (*Slot, error) {
+func (b *Broker) Acquire(ctx context.Context, shards []config.Shard, q SlotRequest) (*Slot, error) {
 	if len(shards) == 0 {
 		return nil, &RefusedError{Reason: scheduler.ReasonNoServer, RetryAfter: ownRetryAfter}
 	}
@@ -86,7 +86,7 @@
 // acquisition is one Acquire under way.
 type acquisition struct {
 	broker  *Broker
-	query   Query
+	query   SlotRequest
 	left    []config.Shard
 	waiting []*reservation
 	decided chan outcome
