--- a/pkg/entry/run.go
+++ b/pkg/entry/run.go
@@ -31,7 +31,7 @@
 		if !h.mayRetry(ctx, req, err, n) {
 			return req.final(err)
 		}
-		q.Avoid = req.servers
+		q.AvoidServers = req.servers
 		if err := pause(ctx, n); err != nil {
 			return req.final(err)
 		}
@@ -149,7 +149,7 @@
 		Organisation: req.org.Name,
 		PromptTokens: promptTokens,
 		Arrival:      req.arrival,
-		Prefix:       prefix,
+		PrefixHashes: prefix,
 	}
 	if req.class.Deadline > 0 {
 		q.Deadline = req.arrival.Add(req.class.Deadline)
--- a/pkg/shard/broker.go
+++ b/pkg/shard/broker.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// deadlineGrace is how long after its deadline a request still waits for the
-	// owner's own refusal, which knows when to come back.
-	deadlineGrace = 250 * time.Millisecond
-	// askAgain is the pause after an owner said that it is none.
-	askAgain = 50 * time.Millisecond
-	// ownRetryAfter is told when no owner answered in time.
-	ownRetryAfter = 2 * time.Second
+	// refusalGrace is how long past its deadline a request waits for the owner's
+	// refusal, which carries a better retry-after than defaultRetryAfter.
+	refusalGrace = 250 * time.Millisecond
+	// registerRetryDelay is the delay before registering again after NotOwner.
+	registerRetryDelay = 50 * time.Millisecond
+	// defaultRetryAfter is the retry-after when no owner answered in time.
+	defaultRetryAfter = 2 * time.Second
 )
 
-// RefusedError says that a request was not run, why, and when to ask again.
+// RefusedError reports that a request was not run, and when it may be retried.
 type RefusedError struct {
 	Reason     scheduler.Reason
 	RetryAfter time.Duration
@@ -38,65 +38,65 @@
 	return fmt.Sprintf("not run (%s): ask again in %s", e.Reason, e.RetryAfter.Round(time.Millisecond))
 }
 
-// Sender sends a message to a linked box.
+// Sender sends a message to a connected box.
 type Sender interface {
 	Send(box string, m *peerpb.UpMessage) bool
 }
 
-// Broker asks the shards' owners for slots and holds what they gave.
+// Broker requests slots from shard owners and tracks the reservations of this box.
 type Broker struct {
 	self    *peer.Self
 	store   *config.Store
 	tracker *membership.Tracker
 	logger  log.Logger
-	// local is the owner on this box. Its messages pass a mailbox, as a peer's
-	// pass a link.
-	local     peer.Owner
-	localConn *peer.Conn
-	localMail *mailbox.Mailbox[*peerpb.UpMessage]
+	// local is the owner on this box. Messages to it are queued in localMailbox, as
+	// those to a peer are queued in its link.
+	local        peer.Owner
+	localConn    *peer.Conn
+	localMailbox *mailbox.Mailbox[*peerpb.UpMessage]
 
 	mu     sync.Mutex
 	sender Sender
 	seq    uint64
-	shards map[string]*shardView
+	shards map[string]*shardState
 }
 
-// shardView is what the broker knows of one shard.
-type shardView struct {
-	owner string
-	held  map[uint64]*reservation
-	// asking is set while a registration waits for the views to agree.
-	asking bool
+// shardState is the broker's state of one shard.
+type shardState struct {
+	owner        string
+	reservations map[uint64]*reservation
+	// registerPending is set while a registration after NotOwner is scheduled.
+	registerPending bool
 }
 
-// SlotRequest is a request for a slot.
+// SlotRequest describes a request that needs a slot.
 type SlotRequest struct {
 	Class        string
 	Organisation string
 	PromptTokens int
 	Arrival      time.Time
 	Deadline     time.Time
-	Prefix       []uint64
-	Avoid        []string
+	PrefixHashes []uint64
+	AvoidServers []string
 }
 
-// reservation is a query at one shard.
+// reservation is a slot request sent to one shard.
 type reservation struct {
 	SlotRequest
-	shard   string
-	seq     uint64
-	granted bool
-	server  string
-	decided chan<- outcome
+	shard    string
+	seq      uint64
+	granted  bool
+	server   string
+	outcomes chan<- outcome
 }
 
-// outcome is what an owner decided of a reservation.
+// outcome is the owner's decision on a reservation; refusal is nil for a grant.
 type outcome struct {
-	res     *reservation
-	refusal *RefusedError
+	reservation *reservation
+	refusal     *RefusedError
 }
 
-// NewBroker returns a broker; SetSender must be called before it is used.
+// NewBroker returns a broker; call SetSender before using it.
 func NewBroker(self *peer.Self, store *config.Store, tracker *membership.Tracker, local peer.Owner, logger log.Logger) *Broker {
 	b := &Broker{
 		self:    self,
@@ -104,43 +104,43 @@
 		tracker: tracker,
 		local:   local,
 
-		localMail: mailbox.NewUnbounded[*peerpb.UpMessage](),
-		logger:    logger,
-		shards:    make(map[string]*shardView),
+		localMailbox: mailbox.NewUnbounded[*peerpb.UpMessage](),
+		logger:       logger,
+		shards:       make(map[string]*shardState),
 	}
 	b.localConn = peer.NewConn(self.Origin, func(m *peerpb.DownMessage) { b.Down(self.Box, m) })
 	return b
 }
 
-// SetSender gives the broker its links.
+// SetSender sets the sender for messages to other boxes.
 func (b *Broker) SetSender(s Sender) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sender = s
 }
 
-// Run follows the view and the configuration until ctx ends, and registers what
-// this box holds with every new owner.
+// Run watches the membership view and the configuration until ctx ends, and
+// registers the reservations of this box with every new owner.
 func (b *Broker) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { b.runLocal(ctx) })
+	wg.Go(func() { b.deliverLocal(ctx) })
 	for {
-		view, conf := b.tracker.Changed(), b.store.Changed()
-		b.reconcile()
+		viewChanged, configChanged := b.tracker.Changed(), b.store.Changed()
+		b.updateOwners()
 		select {
 		case <-ctx.Done():
 			return
-		case <-view:
-		case <-conf:
+		case <-viewChanged:
+		case <-configChanged:
 		}
 	}
 }
 
-// runLocal passes messages to the owner on this box.
-func (b *Broker) runLocal(ctx context.Context) {
+// deliverLocal delivers queued messages to the owner on this box.
+func (b *Broker) deliverLocal(ctx context.Context) {
 	for {
-		batch, ok := b.localMail.Take(ctx)
+		batch, ok := b.localMailbox.Take(ctx)
 		if !ok {
 			return
 		}
@@ -150,13 +150,13 @@
 	}
 }
 
-// reconcile finds shards whose owner changed.
-func (b *Broker) reconcile() {
+// updateOwners registers with the new owner of each shard whose owner changed.
+func (b *Broker) updateOwners() {
 	v := b.tracker.View()
 	for _, sh := range b.store.Current().Shards() {
 		owner := v.Owner(sh.ID, sh.Hall)
 		b.mu.Lock()
-		if s := b.view(sh.ID); s.owner != owner {
+		if s := b.state(sh.ID); s.owner != owner {
 			level.Debug(b.logger).Log("msg", "shard has a new owner", "shard", sh.ID, "owner", owner)
 			s.owner = owner
 			b.register(sh.ID)
@@ -165,11 +165,11 @@
 	}
 }
 
-// view is called with the lock held.
-func (b *Broker) view(shard string) *shardView {
+// state returns the state of a shard, creating it if needed. b.mu must be held.
+func (b *Broker) state(shard string) *shardState {
 	s := b.shards[shard]
 	if s == nil {
-		s = &shardView{held: make(map[uint64]*reservation)}
+		s = &shardState{reservations: make(map[uint64]*reservation)}
 		b.shards[shard] = s
 	}
 	return s
@@ -186,27 +186,27 @@
 	}
 }
 
-// register tells a shard's owner everything held there. It is called with the
-// lock held, as send is: what an owner hears must be in the order in which it
-// came to be, or a registration could bring back what had ended.
+// register sends a shard's owner all reservations in the shard. b.mu must be held
+// here and in send, so that the owner receives messages in order: a late
+// registration could otherwise restore a reservation that has ended.
 func (b *Broker) register(shard string) {
-	s := b.view(shard)
+	s := b.state(shard)
 	m := &peerpb.Register{Shard: shard}
-	for _, r := range s.held {
+	for _, r := range s.reservations {
 		if r.granted {
-			m.Running = append(m.Running, &peerpb.Running{Reserve: r.message(), Server: r.server})
+			m.Running = append(m.Running, &peerpb.Running{Reserve: r.reserveMessage(), Server: r.server})
 			continue
 		}
-		m.Waiting = append(m.Waiting, r.message())
+		m.Waiting = append(m.Waiting, r.reserveMessage())
 	}
 	b.send(s.owner, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Register{Register: m}})
 }
 
-// send passes a message to an owner, without waiting. Without a link it is lost:
-// LinkUp registers everything.
+// send sends a message to an owner without blocking. Without a connection the
+// message is dropped; LinkUp registers all reservations again.
 func (b *Broker) send(owner string, m *peerpb.UpMessage) {
 	if owner == b.self.Box {
-		b.localMail.Put(m)
+		b.localMailbox.Put(m)
 		return
 	}
 	if b.sender != nil && owner != "" {
@@ -214,7 +214,7 @@
 	}
 }
 
-func (r *reservation) message() *peerpb.Reserve {
+func (r *reservation) reserveMessage() *peerpb.Reserve {
 	m := &peerpb.Reserve{
 		Shard:        r.shard,
 		Seq:          r.seq,
@@ -222,8 +222,8 @@
 		Organisation: r.Organisation,
 		PromptTokens: uint32(r.PromptTokens),
 		WaitedNanos:  int64(time.Since(r.Arrival)),
-		Prefix:       r.Prefix,
-		Avoid:        r.Avoid,
+		Prefix:       r.PrefixHashes,
+		Avoid:        r.AvoidServers,
 	}
 	if !r.Deadline.IsZero() {
 		m.RemainingNanos = max(1, int64(time.Until(r.Deadline)))
@@ -231,27 +231,27 @@
 	return m
 }
 
-// reserve asks one shard's owner; the outcome comes on decided.
-func (b *Broker) reserve(shard string, q SlotRequest, decided chan<- outcome) *reservation {
+// reserve requests a slot from the owner of one shard, which answers on outcomes.
+func (b *Broker) reserve(shard string, req SlotRequest, outcomes chan<- outcome) *reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	r := &reservation{SlotRequest: q, shard: shard, seq: b.seq, decided: decided}
-	s := b.view(shard)
-	s.held[r.seq] = r
-	b.send(s.owner, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Reserve{Reserve: r.message()}})
+	r := &reservation{SlotRequest: req, shard: shard, seq: b.seq, outcomes: outcomes}
+	s := b.state(shard)
+	s.reservations[r.seq] = r
+	b.send(s.owner, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Reserve{Reserve: r.reserveMessage()}})
 	return r
 }
 
-// release forgets a reservation and tells the owner so with m.
+// release removes a reservation and sends m to the owner.
 func (b *Broker) release(r *reservation, m *peerpb.UpMessage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.view(r.shard)
-	if s.held[r.seq] == nil {
+	s := b.state(r.shard)
+	if s.reservations[r.seq] == nil {
 		return
 	}
-	delete(s.held, r.seq)
+	delete(s.reservations, r.seq)
 	b.send(s.owner, m)
 }
 
@@ -261,86 +261,87 @@
 	return &peerpb.UpMessage{Kind: &peerpb.UpMessage_Cancel{Cancel: &peerpb.Cancel{Shard: shard, Seq: seq}}}
 }
 
-// Down implements peer.Holder: it takes an owner's decision in.
+// Down implements peer.Holder: it handles an owner's decision.
 func (b *Broker) Down(owner string, m *peerpb.DownMessage) {
 	switch k := m.GetKind().(type) {
 	case *peerpb.DownMessage_Grant:
-		b.granted(owner, k.Grant)
+		b.handleGrant(owner, k.Grant)
 	case *peerpb.DownMessage_Refuse:
-		b.refused(owner, k.Refuse)
+		b.handleRefusal(owner, k.Refuse)
 	case *peerpb.DownMessage_NotOwner:
-		b.notOwner(owner, k.NotOwner.GetShard())
+		b.handleNotOwner(owner, k.NotOwner.GetShard())
 	}
 }
 
-// granted heeds a grant if it comes from the owner that this box computes now,
-// is fresh, and the request still waits. Else it gives the slot back. A grant is
-// stale if the owner's last word from this box lies further back than the silence
-// that counts as death: it stops grants of an owner that was frozen.
-func (b *Broker) granted(owner string, g *peerpb.Grant) {
+// handleGrant accepts a grant that is fresh, comes from the current owner, and
+// belongs to a reservation that still waits. Otherwise it returns the slot, or
+// registers again if the grant was only stale. A grant is stale if the last
+// heartbeat that its owner had received from this box is older than the dead-box
+// timeout, as happens when an owner resumes after a pause.
+func (b *Broker) handleGrant(owner string, g *peerpb.Grant) {
 	fresh := owner == b.self.Box || b.self.Clock()-g.GetEchoNanos() < int64(b.tracker.View().DeadAfter())
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.view(g.GetShard())
-	r := s.held[g.GetSeq()]
+	s := b.state(g.GetShard())
+	r := s.reservations[g.GetSeq()]
 	if fresh && s.owner == owner && r != nil && !r.granted {
 		r.granted = true
 		r.server = g.GetServer()
-		r.decided <- outcome{res: r}
+		r.outcomes <- outcome{reservation: r}
 		return
 	}
-	level.Debug(b.logger).Log("msg", "grant not heeded", "shard", g.GetShard(), "owner", owner, "fresh", fresh)
+	level.Debug(b.logger).Log("msg", "grant ignored", "shard", g.GetShard(), "owner", owner, "fresh", fresh)
 	if s.owner != owner || r == nil {
 		b.send(owner, cancelMessage(g.GetShard(), g.GetSeq()))
 		return
 	}
 	if !r.granted {
-		// The owner counts a stale grant as given: tell it what is so.
+		// The owner counts the stale grant as running: correct it.
 		b.register(g.GetShard())
 	}
 }
 
-func (b *Broker) refused(owner string, f *peerpb.Refuse) {
+func (b *Broker) handleRefusal(owner string, f *peerpb.Refuse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.view(f.GetShard())
-	r := s.held[f.GetSeq()]
+	s := b.state(f.GetShard())
+	r := s.reservations[f.GetSeq()]
 	if s.owner != owner || r == nil || r.granted {
 		return
 	}
-	delete(s.held, f.GetSeq())
-	r.decided <- outcome{res: r, refusal: &RefusedError{
+	delete(s.reservations, f.GetSeq())
+	r.outcomes <- outcome{reservation: r, refusal: &RefusedError{
 		Reason:     scheduler.Reason(f.GetReason()),
 		RetryAfter: time.Duration(f.GetRetryAfterNanos()),
 	}}
 }
 
-// notOwner asks again soon: the two views differ for a moment.
-func (b *Broker) notOwner(owner, shard string) {
+// handleNotOwner registers again after a delay: the two boxes' views differ for now.
+func (b *Broker) handleNotOwner(owner, shard string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.view(shard)
-	if s.owner != owner || s.asking {
+	s := b.state(shard)
+	if s.owner != owner || s.registerPending {
 		return
 	}
-	s.asking = true
-	time.AfterFunc(askAgain, func() {
+	s.registerPending = true
+	time.AfterFunc(registerRetryDelay, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		s.asking = false
+		s.registerPending = false
 		if s.owner == owner {
 			b.register(shard)
 		}
 	})
 }
 
-// ReservationCount counts the reservations of this box, waiting and granted.
+// ReservationCount returns the number of waiting and granted reservations.
 func (b *Broker) ReservationCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
 	for _, s := range b.shards {
-		n += len(s.held)
+		n += len(s.reservations)
 	}
 	return n
 }
--- a/pkg/shard/convert.go
+++ b/pkg/shard/convert.go
@@ -10,13 +10,13 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// schedulerConfig works out what the scheduler of a shard needs to know.
+// schedulerConfig builds the scheduler configuration of a shard.
 func schedulerConfig(st *config.State, sh config.Shard, v *membership.View) scheduler.Config {
 	svc, _ := st.Service(sh.Service)
 	cfg := scheduler.Config{
 		QueueLimit:    svc.Queue,
 		HeadroomSlots: svc.Headroom,
-		Limits:        func(name string) scheduler.Limits { return limitsOf(st, name) },
+		Limits:        func(name string) scheduler.Limits { return schedulerLimits(st, name) },
 	}
 	share := minorityShare(v)
 	for _, name := range sh.Servers {
@@ -28,12 +28,12 @@
 		})
 	}
 	for _, c := range st.Classes() {
-		cfg.Classes = append(cfg.Classes, classOf(st, sh, c))
+		cfg.Classes = append(cfg.Classes, schedulerClass(st, sh, c))
 	}
 	return cfg
 }
 
-func classOf(st *config.State, sh config.Shard, c config.Class) scheduler.Class {
+func schedulerClass(st *config.State, sh config.Shard, c config.Class) scheduler.Class {
 	return scheduler.Class{
 		Name:             c.Name,
 		Tier:             c.Tier,
@@ -42,13 +42,13 @@
 		GuaranteedPlaces: c.Places,
 		FirstTokenTarget: c.FirstToken,
 		InterTokenTarget: c.Between,
-		Servers:          serversFor(st, sh.Service, c.Servers),
+		Servers:          serviceServers(st, sh.Service, c.Servers),
 	}
 }
 
-// serversFor keeps the servers of one service. A class's list restricts the
-// services that it names servers of, and no others.
-func serversFor(st *config.State, service string, names []string) []string {
+// serviceServers filters a class's server list by service. An empty result does
+// not restrict the class: its list applies only to services it names servers of.
+func serviceServers(st *config.State, service string, names []string) []string {
 	var list []string
 	for _, n := range names {
 		if s, ok := st.Server(n); ok && s.Service == service {
@@ -58,7 +58,7 @@
 	return list
 }
 
-func limitsOf(st *config.State, name string) scheduler.Limits {
+func schedulerLimits(st *config.State, name string) scheduler.Limits {
 	o, _ := st.Organisation(name)
 	return scheduler.Limits{
 		Weight:            o.Weight,
@@ -68,9 +68,9 @@
 	}
 }
 
-// minorityShare is the part of each server's slots that this box may count on.
-// A box that sees fewer than half of the boxes answer may be cut off, while the
-// others go on: it takes its share only.
+// minorityShare returns the fraction of each server's slots that this box may
+// grant. A box that sees fewer than half of the boxes may be partitioned from the
+// others, so it limits itself to its share.
 func minorityShare(v *membership.View) float64 {
 	live, all := v.LiveCount()
 	if live*2 >= all {
@@ -79,8 +79,8 @@
 	return float64(live) / float64(all)
 }
 
-// requestOf builds the scheduler's request from a peer's message.
-func requestOf(now time.Time, box string, m *peerpb.Reserve) scheduler.Request {
+// schedulerRequest converts a Reserve message of a box.
+func schedulerRequest(now time.Time, box string, m *peerpb.Reserve) scheduler.Request {
 	r := scheduler.Request{
 		ID:           scheduler.ID{Box: box, Seq: m.GetSeq()},
 		Class:        m.GetClass(),
@@ -96,7 +96,7 @@
 	return r
 }
 
-func completionOf(box string, m *peerpb.Finish) scheduler.Completion {
+func schedulerCompletion(box string, m *peerpb.Finish) scheduler.Completion {
 	return scheduler.Completion{
 		ID:                scheduler.ID{Box: box, Seq: m.GetSeq()},
 		Result:            scheduler.Result(m.GetResult()),
--- a/pkg/shard/doc.go
+++ b/pkg/shard/doc.go
@@ -1,7 +1,7 @@
-// Package shard runs the schedulers of the shards that this box owns, and asks
-// the owners of shards, here or on other boxes, for slots.
+// Package shard schedules the shards that this box owns, and requests slots from
+// the owners of shards on this and other boxes.
 //
-// A Runner is the owner's side: its state is soft, and a new owner rebuilds it
-// from what the entry boxes register. A Broker is the entry box's side: it holds
-// every reservation of its box and heeds only the owner that it computes now.
+// A Runner is the owner side. Its state is not persisted: a new owner rebuilds it
+// from the registrations of the entry boxes. A Broker is the entry side. It holds
+// the reservations of its box and accepts grants only from the current owner.
 package shard
--- a/pkg/shard/eligible.go
+++ b/pkg/shard/eligible.go
@@ -5,18 +5,18 @@
 	"headhill.example/headhill/pkg/membership"
 )
 
-// shardsUsed bounds the shards of one service that a box reserves in, in a fleet
-// beyond membership.MeshSize. Each costs links to its owner and to the next in
-// line; at the target size a service has 75 shards.
-const shardsUsed = reserveIn
+// maxShardsPerBox bounds the shards of one service that a box reserves in when the
+// fleet has more than membership.MeshSize boxes: each shard needs connections to
+// its owner and to the next owner in line.
+const maxShardsPerBox = parallelReservations
 
-// Eligible lists the shards of a service that a box reserves in, those of its own
-// hall first.
+// Eligible returns the shards of a service in which this box may reserve, those of
+// its own hall first.
 func Eligible(st *config.State, v *membership.View, service, hall string) []config.Shard {
 	all := st.ShardsOf(service)
-	most := shardsUsed
+	limit := maxShardsPerBox
 	if len(v.Boxes) <= membership.MeshSize {
-		most = len(all)
+		limit = len(all)
 	}
 	byID := make(map[string]config.Shard, len(all))
 	var near, far []string
@@ -28,8 +28,8 @@
 		}
 		far = append(far, sh.ID)
 	}
-	ids := membership.Choose(v.Self, near, most)
-	if left := most - len(ids); left > 0 {
+	ids := membership.Choose(v.Self, near, limit)
+	if left := limit - len(ids); left > 0 {
 		ids = append(ids[:len(ids):len(ids)], membership.Choose(v.Self, far, left)...)
 	}
 	list := make([]config.Shard, 0, len(ids))
--- a/pkg/shard/fuzz_test.go
+++ b/pkg/shard/fuzz_test.go
@@ -13,16 +13,16 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// FuzzPeerMessages feeds an owner and a broker what a broken peer could send.
+// FuzzPeerMessages checks that arbitrary peer messages leave no slot in use.
 func FuzzPeerMessages(f *testing.F) {
-	seed := func(m *peerpb.UpMessage) {
+	addSeed := func(m *peerpb.UpMessage) {
 		b, err := proto.Marshal(&peerpb.Up{Messages: []*peerpb.UpMessage{m}})
 		require.NoError(f, err)
 		f.Add(b)
 	}
-	seed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Reserve{Reserve: &peerpb.Reserve{Shard: "s", Seq: 1, Class: "high", WaitedNanos: -5, RemainingNanos: 1}}})
-	seed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Register{Register: &peerpb.Register{Shard: "s", Running: []*peerpb.Running{{Server: "v1"}, {}}}}})
-	seed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Finish{Finish: &peerpb.Finish{Shard: "s", Seq: 1, Result: 99, OutputTokens: 1 << 31}}})
+	addSeed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Reserve{Reserve: &peerpb.Reserve{Shard: "s", Seq: 1, Class: "high", WaitedNanos: -5, RemainingNanos: 1}}})
+	addSeed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Register{Register: &peerpb.Register{Shard: "s", Running: []*peerpb.Running{{Server: "v1"}, {}}}}})
+	addSeed(&peerpb.UpMessage{Kind: &peerpb.UpMessage_Finish{Finish: &peerpb.Finish{Shard: "s", Seq: 1, Result: 99, OutputTokens: 1 << 31}}})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var up peerpb.Up
 		var down peerpb.Down
@@ -44,7 +44,7 @@
 			time.Sleep(time.Second)
 			b.runner.Gone(c)
 			time.Sleep(5 * time.Second)
-			running, _ := net.running()
+			running, _ := net.slotCounts()
 			require.Zero(t, running)
 			cancel()
 			time.Sleep(time.Second)
--- a/pkg/shard/owned.go
+++ b/pkg/shard/owned.go
@@ -12,12 +12,12 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// linkGrace is how long the running requests of a box are counted after its link
-// broke: it may only have been cut off from this owner.
-const linkGrace = 3 * time.Second
+// disconnectGrace is how long the running requests of a box stay counted after it
+// disconnects: they may still run if only the connection to this owner is lost.
+const disconnectGrace = 3 * time.Second
 
-// owned is a shard that this box owns.
-type owned struct {
+// ownedShard is a shard that this box owns.
+type ownedShard struct {
 	id    string
 	epoch uint64
 
@@ -25,31 +25,31 @@
 	sched      *scheduler.Scheduler
 	cfg        scheduler.Config
 	generation uint64
-	// gone is set when the ownership ended; nothing is granted after.
-	gone bool
-	// registered holds the boxes, by ID, that told what they hold.
+	// stopped is set when the ownership has ended; nothing is granted afterwards.
+	stopped bool
+	// registered holds the IDs of the boxes that have registered.
 	registered map[string]bool
-	// broken holds origins whose link broke, until they are forgotten.
-	broken map[string]time.Time
+	// disconnected maps the origins without a connection to when they lost it.
+	disconnected map[string]time.Time
 }
 
-func newOwned(now time.Time, st *config.State, sh config.Shard, v *membership.View, epoch uint64) *owned {
+func newOwnedShard(now time.Time, st *config.State, sh config.Shard, v *membership.View, epoch uint64) *ownedShard {
 	cfg := schedulerConfig(st, sh, v)
-	o := &owned{
-		id:         sh.ID,
-		epoch:      epoch,
-		sched:      scheduler.New(cfg, epoch),
-		cfg:        cfg,
-		generation: st.Generation,
-		registered: make(map[string]bool),
-		broken:     make(map[string]time.Time),
+	o := &ownedShard{
+		id:           sh.ID,
+		epoch:        epoch,
+		sched:        scheduler.New(cfg, epoch),
+		cfg:          cfg,
+		generation:   st.Generation,
+		registered:   make(map[string]bool),
+		disconnected: make(map[string]time.Time),
 	}
 	o.sched.BeginRecovery(now)
 	return o
 }
 
-// configure puts a new configuration or view in force.
-func (o *owned) configure(now time.Time, st *config.State, sh config.Shard, v *membership.View) {
+// configure applies a new configuration or view.
+func (o *ownedShard) configure(now time.Time, st *config.State, sh config.Shard, v *membership.View) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	cfg := schedulerConfig(st, sh, v)
@@ -60,56 +60,56 @@
 	o.sched.Configure(now, cfg)
 }
 
-// end stops granting for good.
-func (o *owned) end() {
+// stop ends the ownership: no more grants are made.
+func (o *ownedShard) stop() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.gone = true
+	o.stopped = true
 }
 
-// do lets f feed the scheduler and returns what it decided.
-func (o *owned) do(f func(s *scheduler.Scheduler)) scheduler.Decisions {
+// update runs f with the scheduler locked and returns the decisions it led to.
+func (o *ownedShard) update(f func(s *scheduler.Scheduler)) scheduler.Decisions {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.gone {
+	if o.stopped {
 		return scheduler.Decisions{}
 	}
 	f(o.sched)
 	return o.sched.TakeDecisions()
 }
 
-// up feeds a message of a box to the scheduler.
-func (o *owned) up(now time.Time, c *peer.Conn, m *peerpb.UpMessage, live []string) scheduler.Decisions {
-	return o.do(func(s *scheduler.Scheduler) {
+// handleMessage passes a message of a box to the scheduler.
+func (o *ownedShard) handleMessage(now time.Time, c *peer.Conn, m *peerpb.UpMessage, live []string) scheduler.Decisions {
+	return o.update(func(s *scheduler.Scheduler) {
 		box := c.Key()
-		delete(o.broken, box)
+		delete(o.disconnected, box)
 		switch k := m.GetKind().(type) {
 		case *peerpb.UpMessage_Reserve:
-			s.Reserve(now, requestOf(now, box, k.Reserve))
+			s.Reserve(now, schedulerRequest(now, box, k.Reserve))
 		case *peerpb.UpMessage_Cancel:
 			s.Cancel(now, scheduler.ID{Box: box, Seq: k.Cancel.GetSeq()})
 		case *peerpb.UpMessage_Start:
 			s.Start(scheduler.ID{Box: box, Seq: k.Start.GetSeq()})
 		case *peerpb.UpMessage_Finish:
-			s.Finish(now, completionOf(box, k.Finish))
+			s.Finish(now, schedulerCompletion(box, k.Finish))
 		case *peerpb.UpMessage_Register:
 			o.register(now, c, k.Register, live)
 		}
 	})
 }
 
-// register takes in what a box holds. When every live box has told, there is
-// nothing more to wait for.
-func (o *owned) register(now time.Time, c *peer.Conn, m *peerpb.Register, live []string) {
+// register syncs the reservations of a box. Recovery ends once every live box has
+// registered.
+func (o *ownedShard) register(now time.Time, c *peer.Conn, m *peerpb.Register, live []string) {
 	box := c.Key()
 	waiting := make([]scheduler.Request, 0, len(m.GetWaiting()))
 	for _, w := range m.GetWaiting() {
-		waiting = append(waiting, requestOf(now, box, w))
+		waiting = append(waiting, schedulerRequest(now, box, w))
 	}
 	running := make([]scheduler.RunningRequest, 0, len(m.GetRunning()))
 	for _, r := range m.GetRunning() {
 		running = append(running, scheduler.RunningRequest{
-			Request: requestOf(now, box, r.GetReserve()),
+			Request: schedulerRequest(now, box, r.GetReserve()),
 			Server:  r.GetServer(),
 		})
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-func (o *owned) allRegistered(live []string) bool {
+func (o *ownedShard) allRegistered(live []string) bool {
 	for _, id := range live {
 		if !o.registered[id] {
 			return false
@@ -129,29 +129,29 @@
 	return true
 }
 
-// linkBroke drops what a box waits for here; what it runs is counted a while.
-func (o *owned) linkBroke(now time.Time, box string) {
-	o.do(func(s *scheduler.Scheduler) {
+// handleDisconnect drops the waiting requests of a box. Its running ones stay
+// counted for disconnectGrace.
+func (o *ownedShard) handleDisconnect(now time.Time, box string) {
+	o.update(func(s *scheduler.Scheduler) {
 		s.DropWaiting(box)
-		o.broken[box] = now
+		o.disconnected[box] = now
 	})
 }
 
-// tick lets time pass.
-func (o *owned) tick(now time.Time) scheduler.Decisions {
-	return o.do(func(s *scheduler.Scheduler) {
-		for box, since := range o.broken {
-			if now.Sub(since) > linkGrace {
+// tick drops boxes whose disconnectGrace has passed and advances the scheduler.
+func (o *ownedShard) tick(now time.Time) scheduler.Decisions {
+	return o.update(func(s *scheduler.Scheduler) {
+		for box, since := range o.disconnected {
+			if now.Sub(since) > disconnectGrace {
 				s.DropBox(now, box)
-				delete(o.broken, box)
+				delete(o.disconnected, box)
 			}
 		}
 		s.Tick(now)
 	})
 }
 
-// stats describes the shard.
-func (o *owned) stats(now time.Time) scheduler.Stats {
+func (o *ownedShard) stats(now time.Time) scheduler.Stats {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.sched.Stats(now)
--- a/pkg/shard/runner.go
+++ b/pkg/shard/runner.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	tickEvery = 25 * time.Millisecond
-	// LoadReportInterval is how often an owner asks its servers for their load.
+	tickInterval = 25 * time.Millisecond
+	// LoadReportInterval is how often an owner polls its servers for their load.
 	LoadReportInterval = 500 * time.Millisecond
 )
 
-// Prober asks a backend server for its load.
+// Prober polls a backend server for its load.
 type Prober interface {
 	Probe(ctx context.Context, s config.Server) (scheduler.LoadReport, error)
 }
@@ -37,11 +37,11 @@
 	logger  log.Logger
 
 	mu    sync.Mutex
-	owned map[string]*owned
+	owned map[string]*ownedShard
 	conns map[string]*peer.Conn // by origin key
 }
 
-// NewRunner returns a runner that owns nothing until Run.
+// NewRunner returns a runner that owns no shards until Run is called.
 func NewRunner(self *peer.Self, store *config.Store, tracker *membership.Tracker, prober Prober, logger log.Logger) *Runner {
 	return &Runner{
 		self:    self,
@@ -49,79 +49,79 @@
 		tracker: tracker,
 		prober:  prober,
 		logger:  logger,
-		owned:   make(map[string]*owned),
+		owned:   make(map[string]*ownedShard),
 		conns:   make(map[string]*peer.Conn),
 	}
 }
 
-// Run owns what the view gives this box until ctx ends.
+// Run schedules the shards that the view assigns to this box until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { r.reports(ctx) })
-	t := time.NewTicker(tickEvery)
+	wg.Go(func() { r.probeLoop(ctx) })
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
-		view, conf := r.tracker.Changed(), r.store.Changed()
+		viewChanged, configChanged := r.tracker.Changed(), r.store.Changed()
 		r.reconcile(time.Now())
-		if !r.ticks(ctx, t, view, conf) {
+		if !r.tickUntilChange(ctx, t, viewChanged, configChanged) {
 			return
 		}
 	}
 }
 
-// ticks lets time pass until the view or the configuration changes; false means
-// that ctx ended.
-func (r *Runner) ticks(ctx context.Context, t *time.Ticker, view, conf <-chan struct{}) bool {
+// tickUntilChange ticks the shards until the view or the configuration changes. It
+// returns false when ctx has ended.
+func (r *Runner) tickUntilChange(ctx context.Context, t *time.Ticker, viewChanged, configChanged <-chan struct{}) bool {
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-view:
+		case <-viewChanged:
 			return true
-		case <-conf:
+		case <-configChanged:
 			return true
 		case now := <-t.C:
 			r.tracker.Tick(now)
-			for _, o := range r.all() {
-				r.deliver(o, o.tick(now))
+			for _, o := range r.ownedShards() {
+				r.sendDecisions(o, o.tick(now))
 			}
 		}
 	}
 }
 
-// reconcile takes shards over and gives shards up, by the view.
+// reconcile acquires and releases shards to match the view.
 func (r *Runner) reconcile(now time.Time) {
 	v, st := r.tracker.View(), r.store.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kept := make(map[string]bool)
+	assigned := make(map[string]bool)
 	for _, sh := range st.Shards() {
 		if v.Owner(sh.ID, sh.Hall) != r.self.Box {
 			continue
 		}
-		kept[sh.ID] = true
+		assigned[sh.ID] = true
 		if o := r.owned[sh.ID]; o != nil {
 			o.configure(now, st, sh, v)
 			continue
 		}
-		o := newOwned(now, st, sh, v, rand.Uint64())
+		o := newOwnedShard(now, st, sh, v, rand.Uint64())
 		r.owned[sh.ID] = o
-		level.Info(r.logger).Log("msg", "shard taken over", "shard", sh.ID, "epoch", o.epoch)
+		level.Info(r.logger).Log("msg", "shard ownership acquired", "shard", sh.ID, "epoch", o.epoch)
 	}
 	for id, o := range r.owned {
-		if !kept[id] {
-			o.end()
+		if !assigned[id] {
+			o.stop()
 			delete(r.owned, id)
-			level.Info(r.logger).Log("msg", "shard given up", "shard", id, "epoch", o.epoch)
+			level.Info(r.logger).Log("msg", "shard ownership released", "shard", id, "epoch", o.epoch)
 		}
 	}
 }
 
-func (r *Runner) all() []*owned {
+func (r *Runner) ownedShards() []*ownedShard {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]*owned, 0, len(r.owned))
+	list := make([]*ownedShard, 0, len(r.owned))
 	for _, o := range r.owned {
 		list = append(list, o)
 	}
@@ -130,7 +130,7 @@
 
 // Up implements peer.Owner.
 func (r *Runner) Up(c *peer.Conn, m *peerpb.UpMessage) {
-	id := shardOf(m)
+	id := messageShard(m)
 	r.mu.Lock()
 	r.conns[c.Key()] = c
 	o := r.owned[id]
@@ -139,10 +139,10 @@
 		c.Send(&peerpb.DownMessage{Kind: &peerpb.DownMessage_NotOwner{NotOwner: &peerpb.NotOwner{Shard: id}}})
 		return
 	}
-	r.deliver(o, o.up(time.Now(), c, m, r.liveBoxes()))
+	r.sendDecisions(o, o.handleMessage(time.Now(), c, m, r.liveBoxes()))
 }
 
-func shardOf(m *peerpb.UpMessage) string {
+func messageShard(m *peerpb.UpMessage) string {
 	switch k := m.GetKind().(type) {
 	case *peerpb.UpMessage_Reserve:
 		return k.Reserve.GetShard()
@@ -173,19 +173,19 @@
 func (r *Runner) Gone(c *peer.Conn) {
 	r.mu.Lock()
 	if r.conns[c.Key()] != c {
-		// The box has linked again already.
+		// The box has already reconnected.
 		r.mu.Unlock()
 		return
 	}
 	delete(r.conns, c.Key())
 	r.mu.Unlock()
-	for _, o := range r.all() {
-		o.linkBroke(time.Now(), c.Key())
+	for _, o := range r.ownedShards() {
+		o.handleDisconnect(time.Now(), c.Key())
 	}
 }
 
-// deliver sends decisions to the boxes that asked.
-func (r *Runner) deliver(o *owned, d scheduler.Decisions) {
+// sendDecisions sends grants and refusals to the boxes that made the requests.
+func (r *Runner) sendDecisions(o *ownedShard, d scheduler.Decisions) {
 	for _, g := range d.Grants {
 		c := r.conn(g.ID.Box)
 		if c == nil {
@@ -212,13 +212,13 @@
 	return r.conns[origin]
 }
 
-// reports polls the servers of the owned shards.
-func (r *Runner) reports(ctx context.Context) {
+// probeLoop polls the servers of the owned shards for their load until ctx ends.
+func (r *Runner) probeLoop(ctx context.Context) {
 	t := time.NewTicker(LoadReportInterval)
 	defer t.Stop()
 	for {
 		var wg conc.WaitGroup
-		for _, o := range r.all() {
+		for _, o := range r.ownedShards() {
 			wg.Go(func() { r.probeShard(ctx, o) })
 		}
 		wg.Wait()
@@ -232,7 +232,7 @@
 
 const probeTimeout = time.Second
 
-func (r *Runner) probeShard(ctx context.Context, o *owned) {
+func (r *Runner) probeShard(ctx context.Context, o *ownedShard) {
 	st := r.store.Current()
 	sh, ok := st.Shard(o.id)
 	if !ok {
@@ -246,22 +246,22 @@
 	wg.Wait()
 }
 
-func (r *Runner) probe(ctx context.Context, o *owned, s config.Server) {
+func (r *Runner) probe(ctx context.Context, o *ownedShard, s config.Server) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	rep, err := r.prober.Probe(ctx, s)
+	report, err := r.prober.Probe(ctx, s)
 	if err != nil {
-		level.Debug(r.logger).Log("msg", "no load report", "server", s.Name, "err", err)
-		rep = scheduler.LoadReport{Down: true}
+		level.Debug(r.logger).Log("msg", "load probe failed", "server", s.Name, "err", err)
+		report = scheduler.LoadReport{Down: true}
 	}
-	rep.Server = s.Name
-	r.deliver(o, o.do(func(sc *scheduler.Scheduler) { sc.Report(time.Now(), rep) }))
+	report.Server = s.Name
+	r.sendDecisions(o, o.update(func(sc *scheduler.Scheduler) { sc.Report(time.Now(), report) }))
 }
 
-// Status describes the owned shards.
+// Status returns the status of the owned shards.
 func (r *Runner) Status(now time.Time) []*peerpb.ShardStatus {
 	var list []*peerpb.ShardStatus
-	for _, o := range r.all() {
+	for _, o := range r.ownedShards() {
 		st := o.stats(now)
 		s := &peerpb.ShardStatus{
 			Shard: o.id, Epoch: o.epoch,
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -23,22 +23,22 @@
 	standin "headhill.example/headhill/pkg/standin/objectstore"
 )
 
-// network joins boxes in memory; links can be cut.
+// network connects boxes in memory and can disconnect them.
 type network struct {
 	ctx   context.Context
 	boxes map[string]*testBox
 
-	mu  sync.Mutex
-	cut map[[2]string]bool
+	mu           sync.Mutex
+	disconnected map[[2]string]bool
 }
 
-func (n *network) isCut(a, b string) bool {
+func (n *network) isDisconnected(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[[2]string{a, b}]
+	return n.disconnected[[2]string{a, b}]
 }
 
-// testBox is a runner and a broker, without ports.
+// testBox is a runner and a broker without network listeners.
 type testBox struct {
 	id      string
 	net     *network
@@ -51,7 +51,7 @@
 	links map[string]*testLink
 }
 
-// testLink delivers in order, as a stream does.
+// testLink delivers messages in order, as a gRPC stream does.
 type testLink struct {
 	conn *peer.Conn
 	up   *mailbox.Mailbox[*peerpb.UpMessage]
@@ -59,7 +59,7 @@
 
 // Send implements Sender.
 func (b *testBox) Send(box string, m *peerpb.UpMessage) bool {
-	if b.net.boxes[box] == nil || b.net.isCut(b.id, box) {
+	if b.net.boxes[box] == nil || b.net.isDisconnected(b.id, box) {
 		return false
 	}
 	return b.link(box).up.Put(m)
@@ -76,30 +76,30 @@
 	l.conn = peer.NewConn(b.self.Origin, func(m *peerpb.DownMessage) { down.Put(m) })
 	b.links[box] = l
 	other := b.net.boxes[box]
-	go deliver(b.net, b.id, box, l.up, func(m *peerpb.UpMessage) { other.runner.Up(l.conn, m) })
-	go deliver(b.net, b.id, box, down, func(m *peerpb.DownMessage) { b.broker.Down(box, m) })
+	go deliverMessages(b.net, b.id, box, l.up, func(m *peerpb.UpMessage) { other.runner.Up(l.conn, m) })
+	go deliverMessages(b.net, b.id, box, down, func(m *peerpb.DownMessage) { b.broker.Down(box, m) })
 	return l
 }
 
-// deliver passes messages on in order, and drops what meets a cut.
-func deliver[T any](n *network, a, b string, m *mailbox.Mailbox[T], pass func(T)) {
+// deliverMessages delivers messages in order and drops those between disconnected boxes.
+func deliverMessages[T any](n *network, a, b string, m *mailbox.Mailbox[T], handle func(T)) {
 	for {
 		batch, ok := m.Take(n.ctx)
 		if !ok {
 			return
 		}
 		for _, x := range batch {
-			if !n.isCut(a, b) {
-				pass(x)
+			if !n.isDisconnected(a, b) {
+				handle(x)
 			}
 		}
 	}
 }
 
-// idle reports every server as up and idle.
-type idle struct{}
+// idleProber reports every server as up and idle.
+type idleProber struct{}
 
-func (idle) Probe(_ context.Context, s config.Server) (scheduler.LoadReport, error) {
+func (idleProber) Probe(_ context.Context, s config.Server) (scheduler.LoadReport, error) {
 	return scheduler.LoadReport{Server: s.Name}, nil
 }
 
@@ -108,7 +108,7 @@
 	testQueue = 6
 )
 
-// testChange is a service of two servers with two classes.
+// testChange configures a service with two servers and two classes.
 func testChange() config.Change {
 	class := func(name string, tier int) config.Class {
 		return config.Class{Name: name, Tier: tier, Floor: .05, FloorPlaces: 1, Places: 2, Deadline: time.Minute}
@@ -123,14 +123,14 @@
 	}
 }
 
-// newNetwork starts n boxes that know each other, with testChange in force. It must
-// be called in a bubble.
+// newNetwork starts n connected boxes configured with testChange. It must be called
+// in a synctest bubble.
 func newNetwork(ctx context.Context, t require.TestingT, n int) *network {
 	return newNetworkWith(ctx, t, n, testChange())
 }
 
 func newNetworkWith(ctx context.Context, t require.TestingT, n int, change config.Change) *network {
-	net := &network{ctx: ctx, boxes: map[string]*testBox{}, cut: map[[2]string]bool{}}
+	net := &network{ctx: ctx, boxes: map[string]*testBox{}, disconnected: map[[2]string]bool{}}
 	p := standin.New()
 	var roster []objectstore.Box
 	for i := range n {
@@ -146,7 +146,7 @@
 		b.tracker.SetRoster(time.Now(), roster)
 		b.tracker.SetServing(time.Now(), true)
 		b.self = peer.NewSelf(r.ID, b.tracker, func() uint64 { return 1 })
-		b.runner = NewRunner(b.self, store, b.tracker, idle{}, log.NewNopLogger())
+		b.runner = NewRunner(b.self, store, b.tracker, idleProber{}, log.NewNopLogger())
 		b.broker = NewBroker(b.self, store, b.tracker, b.runner, log.NewNopLogger())
 		b.broker.SetSender(b)
 		net.boxes[r.ID] = b
@@ -155,17 +155,17 @@
 		go b.runner.Run(ctx)
 		go b.broker.Run(ctx)
 	}
-	go net.beat(ctx)
+	go net.runHeartbeats(ctx)
 	return net
 }
 
-// beat passes heartbeats between boxes that are not cut off from each other.
-func (n *network) beat(ctx context.Context) {
+// runHeartbeats exchanges heartbeats between connected boxes until ctx ends.
+func (n *network) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
 		for _, a := range n.boxes {
 			for _, b := range n.boxes {
-				if a == b || n.isCut(a.id, b.id) {
+				if a == b || n.isDisconnected(a.id, b.id) {
 					continue
 				}
 				b.tracker.Heard(now, membership.Heartbeat{Box: a.id, Incarnation: a.self.Incarnation})
@@ -176,18 +176,18 @@
 	}
 }
 
-// isolate cuts a box off from all others, or joins it again.
-func (n *network) isolate(id string, cut bool) {
+// setIsolated disconnects a box from all others, or reconnects it.
+func (n *network) setIsolated(id string, isolated bool) {
 	n.mu.Lock()
 	for other := range n.boxes {
-		n.cut[[2]string{id, other}], n.cut[[2]string{other, id}] = cut, cut
+		n.disconnected[[2]string{id, other}], n.disconnected[[2]string{other, id}] = isolated, isolated
 	}
 	n.mu.Unlock()
 	for _, a := range n.boxes {
 		for other := range n.boxes {
 			switch {
 			case a.id != id && other != id, a.id == other:
-			case cut:
+			case isolated:
 				n.boxes[other].runner.Gone(a.link(other).conn)
 			default:
 				a.broker.LinkUp(other)
@@ -202,8 +202,8 @@
 	return b.Acquire(ctx, b.store.Current().Shards(), q)
 }
 
-// running sums what the owners count, free what they could grant.
-func (n *network) running() (running, free int) {
+// slotCounts sums the running and the free slots over all owners.
+func (n *network) slotCounts() (running, free int) {
 	for _, b := range n.boxes {
 		for _, s := range b.runner.Status(time.Now()) {
 			running += int(s.GetRunning())
@@ -213,7 +213,7 @@
 	return running, free
 }
 
-// withNetwork runs fn against n boxes under virtual time.
+// withNetwork runs fn with n boxes under virtual time.
 func withNetwork(t *testing.T, n int, fn func(ctx context.Context, net *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -234,7 +234,7 @@
 			require.NoError(t, err)
 			slots = append(slots, s)
 		}
-		running, free := net.running()
+		running, free := net.slotCounts()
 		require.Equal(t, 2*testSlots, running)
 		require.Zero(t, free)
 		for _, s := range slots {
@@ -242,19 +242,19 @@
 			s.Finish(scheduler.Completion{Result: scheduler.ResultDone})
 		}
 		time.Sleep(time.Second)
-		running, free = net.running()
+		running, free = net.slotCounts()
 		require.Zero(t, running)
 		require.Equal(t, 2*testSlots, free)
 	})
 }
 
-// While two boxes both believe that they own a shard, each entry box heeds its
-// own owner only; when they agree again, nothing is counted twice or lost.
+// While two boxes own the same shard, each entry box uses only the owner in its own
+// view. After the partition heals, no slot is counted twice or lost.
 func TestDoubledOwner(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
 		v := net.boxes["b0"].tracker.View()
 		owner := v.Owner("s", "")
-		net.isolate(owner, true)
+		net.setIsolated(owner, true)
 		time.Sleep(3 * time.Second)
 		owners := map[string]bool{}
 		for id, b := range net.boxes {
@@ -262,7 +262,7 @@
 				owners[id] = true
 			}
 		}
-		require.Len(t, owners, 2, "both sides own the shard")
+		require.Len(t, owners, 2, "the shard must have an owner on both sides of the partition")
 		var slots []*Slot
 		for id := range net.boxes {
 			s, err := net.acquire(ctx, id, "high")
@@ -270,24 +270,24 @@
 			s.Start()
 			slots = append(slots, s)
 		}
-		net.isolate(owner, false)
+		net.setIsolated(owner, false)
 		time.Sleep(5 * time.Second)
-		running, free := net.running()
+		running, free := net.slotCounts()
 		require.Equal(t, len(slots), running)
 		require.Equal(t, 2*testSlots-len(slots), free)
 		for _, s := range slots {
 			s.Finish(scheduler.Completion{Result: scheduler.ResultDone})
 		}
 		time.Sleep(time.Second)
-		running, _ = net.running()
+		running, _ = net.slotCounts()
 		require.Zero(t, running)
 	})
 }
 
-// A box that is cut off counts on its share of the servers only.
+// An isolated box grants only its share of the server slots.
 func TestCutOffBoxTakesItsShare(t *testing.T) {
 	withNetwork(t, 4, func(_ context.Context, net *network) {
-		net.isolate("b2", true)
+		net.setIsolated("b2", true)
 		time.Sleep(3 * time.Second)
 		st := net.boxes["b2"].runner.Status(time.Now())
 		require.Len(t, st, 1)
@@ -295,16 +295,15 @@
 	})
 }
 
-// A grant that does not come from the owner computed now, or is stale, is given
-// back and not used.
+// Grants that are stale or come from a box other than the current owner are not used.
 func TestStrangeGrantsAreNotHeeded(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
-		var held []*Slot
+		var slots []*Slot
 		for range 2 * testSlots {
 			s, err := net.acquire(ctx, "b0", "high")
 			require.NoError(t, err)
 			s.Start()
-			held = append(held, s)
+			slots = append(slots, s)
 		}
 		got := make(chan *Slot, 1)
 		go func() {
@@ -314,30 +313,30 @@
 		time.Sleep(100 * time.Millisecond)
 		b := net.boxes["b0"].broker
 		b.mu.Lock()
-		owner, seq := b.view("s").owner, b.seq
+		owner, seq := b.state("s").owner, b.seq
 		b.mu.Unlock()
-		grant := func(from, server string, echo int64) {
+		sendGrant := func(from, server string, echo int64) {
 			b.Down(from, &peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{Shard: "s", Seq: seq, Server: server, EchoNanos: echo}}})
 		}
 		for id := range net.boxes {
 			if id != owner {
-				grant(id, "stranger", b.self.Clock())
+				sendGrant(id, "from-other-box", b.self.Clock())
 			}
 		}
 		if owner != "b0" {
-			grant(owner, "stale", b.self.Clock()-int64(2*membership.DeadAfter))
+			sendGrant(owner, "stale", b.self.Clock()-int64(2*membership.DeadAfter))
 		}
 		time.Sleep(100 * time.Millisecond)
-		require.Empty(t, got, "a strange grant was used")
-		held[0].Finish(scheduler.Completion{Result: scheduler.ResultDone})
+		require.Empty(t, got, "an invalid grant was used")
+		slots[0].Finish(scheduler.Completion{Result: scheduler.ResultDone})
 		s := <-got
 		require.NotNil(t, s)
 		require.Contains(t, []string{"v1", "v2"}, s.Server)
 	})
 }
 
-// The queue's bound and its shedding hold over all entry boxes together: high
-// requests of one box push out low ones of another.
+// The queue limit and load shedding apply across entry boxes: high-tier requests of
+// one box evict waiting low-tier requests of another.
 func TestHighPushesOutLowOfAnotherBox(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
 		for range 2 * testSlots {
@@ -346,7 +345,7 @@
 			s.Start()
 		}
 		low := make(chan error, testQueue+1)
-		for range testQueue + 1 { // the bound and the floor place
+		for range testQueue + 1 { // the queue limit and the floor place
 			go func() {
 				_, err := net.acquire(ctx, "b1", "low")
 				low <- err
@@ -358,7 +357,7 @@
 			go func() { _, _ = net.acquire(ctx, "b2", "high") }()
 		}
 		time.Sleep(time.Second)
-		// The floor places of both classes stand besides the bound.
+		// The floor places of both classes are not part of the queue limit.
 		require.Len(t, low, testQueue-1)
 		for range testQueue - 1 {
 			var refused *RefusedError
@@ -369,9 +368,9 @@
 	})
 }
 
-// threeShards is a service of 36 servers of one slot in three halls; the low class
-// may only use those of the last hall in the box's order.
-func threeShards(lowHall string) config.Change {
+// threeHallChange configures a service with 36 single-slot servers in three halls.
+// The low class may use only the servers of lowHall.
+func threeHallChange(lowHall string) config.Change {
 	c := testChange()
 	c.Services[0].Queue = 2
 	c.Servers = nil
@@ -385,12 +384,12 @@
 	return c
 }
 
-// Before a request is refused every shard is asked, and lower-tier work that waits
-// in any of them gives way.
+// A request is refused only after every shard was tried: a waiting lower-tier
+// request in any of them is evicted first.
 func TestLowInAnotherShardGivesWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		net := newNetworkWith(ctx, t, 1, threeShards("h2"))
+		net := newNetworkWith(ctx, t, 1, threeHallChange("h2"))
 		time.Sleep(2 * time.Second)
 		for range 36 {
 			s, err := net.acquire(ctx, "b0", "high")
@@ -398,23 +397,23 @@
 			s.Start()
 		}
 		results := map[string]chan error{"high": make(chan error, 10), "low": make(chan error, 10)}
-		ask := func(class string) {
+		acquire := func(class string) {
 			go func() {
 				_, err := net.acquire(ctx, "b0", class)
 				results[class] <- err
 			}()
 			time.Sleep(100 * time.Millisecond)
 		}
-		for range 3 { // the bound and the floor place of the last shard
-			ask("low")
+		for range 3 { // the queue limit and the floor place of the last shard
+			acquire("low")
 		}
 		require.Empty(t, results["low"])
-		for range 3 { // fill the first two shards, in both of which each waits
-			ask("high")
+		for range 3 { // each waits in both of the first two shards and fills them
+			acquire("high")
 		}
 		for range 2 {
-			ask("high")
-			require.Empty(t, results["high"], "a high request was refused while low work waits in another shard")
+			acquire("high")
+			require.Empty(t, results["high"], "a high-tier request was refused while a low-tier one waits in another shard")
 		}
 		require.NotEmpty(t, results["low"])
 		cancel()
@@ -422,47 +421,48 @@
 	})
 }
 
-// chaosStep is one step of a history of boxes whose links break.
-type chaosStep struct {
+// faultStep is one step of a random sequence of requests and disconnects.
+type faultStep struct {
 	Kind string
 	Box  int
 	Wait int
 }
 
-// No history of acquisitions, ends, abandoned waits and cut links leaves a slot
-// counted for ever, or a caller without an answer.
+// No sequence of acquisitions, completions, abandoned waits and disconnects leaks a
+// slot or leaves a caller without an answer.
 func TestNothingLeaksOverCuts(t *testing.T) {
-	gen := rapid.Custom(func(t *rapid.T) chaosStep {
-		return chaosStep{
-			Kind: rapid.SampledFrom([]string{"acquire", "acquire", "acquire", "abandon", "finish", "finish", "cut", "join"}).Draw(t, "kind"),
+	gen := rapid.Custom(func(t *rapid.T) faultStep {
+		return faultStep{
+			Kind: rapid.SampledFrom([]string{"acquire", "acquire", "acquire", "abandon", "finish", "finish", "disconnect", "reconnect"}).Draw(t, "kind"),
 			Box:  rapid.IntRange(0, 2).Draw(t, "box"),
 			Wait: rapid.SampledFrom([]int{0, 1, 30, 400, 2500}).Draw(t, "wait"),
 		}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(gen, 1, 40).Draw(rt, "steps")
-		var problem error
+		var runErr error
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := newNetwork(ctx, t, 3)
 			time.Sleep(2 * time.Second)
-			problem = net.chaos(ctx, steps)
+			runErr = net.runFaults(ctx, steps)
 			cancel()
 			time.Sleep(time.Second)
 		})
-		require.NoError(rt, problem)
+		require.NoError(rt, runErr)
 	})
 }
 
-// chaos makes the steps, heals, ends everything and says what is left over.
-func (n *network) chaos(ctx context.Context, steps []chaosStep) error {
+// runFaults runs the steps, reconnects all boxes, finishes all requests, and returns
+// an error if a slot leaked or a caller got no answer.
+func (n *network) runFaults(ctx context.Context, steps []faultStep) error {
 	slots := make(chan *Slot, 1000)
-	asked, answered := 0, make(chan struct{}, 1000)
-	ask := func(box string, patience time.Duration) {
-		asked++
-		class := []string{"high", "low"}[asked%2]
+	requested, answered := 0, make(chan struct{}, 1000)
+	acquire := func(box string, timeout time.Duration) {
+		requested++
+		class := []string{"high", "low"}[requested%2]
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, patience)
+			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			if s, err := n.acquire(ctx, box, class); err == nil {
 				s.Start()
@@ -475,22 +475,22 @@
 		box := fmt.Sprint("b", st.Box)
 		switch st.Kind {
 		case "acquire":
-			ask(box, time.Hour)
+			acquire(box, time.Hour)
 		case "abandon":
-			ask(box, 20*time.Millisecond)
+			acquire(box, 20*time.Millisecond)
 		case "finish":
 			if len(slots) > 0 {
 				(<-slots).Finish(scheduler.Completion{Result: scheduler.ResultDone, OutputTokens: 5})
 			}
-		case "cut":
-			n.isolate(box, true)
-		case "join":
-			n.isolate(box, false)
+		case "disconnect":
+			n.setIsolated(box, true)
+		case "reconnect":
+			n.setIsolated(box, false)
 		}
 		time.Sleep(time.Duration(st.Wait) * time.Millisecond)
 	}
 	for id := range n.boxes {
-		n.isolate(id, false)
+		n.setIsolated(id, false)
 	}
 	for range 100 {
 		time.Sleep(2 * time.Second)
@@ -498,15 +498,15 @@
 			(<-slots).Finish(scheduler.Completion{Result: scheduler.ResultDone})
 		}
 	}
-	if len(answered) != asked {
-		return fmt.Errorf("%d of %d callers got an answer", len(answered), asked)
+	if len(answered) != requested {
+		return fmt.Errorf("got answers for %d of %d callers", len(answered), requested)
 	}
-	if running, free := n.running(); running != 0 || free != 2*testSlots {
-		return fmt.Errorf("%d counted as running, %d free", running, free)
+	if running, free := n.slotCounts(); running != 0 || free != 2*testSlots {
+		return fmt.Errorf("got %d running and %d free slots after all requests finished, want 0 running and all free", running, free)
 	}
 	for id, b := range n.boxes {
 		if b.broker.ReservationCount() != 0 {
-			return errors.New(id + " still holds reservations")
+			return errors.New(id + " still has reservations after all requests finished")
 		}
 	}
 	return nil
--- a/pkg/shard/slot.go
+++ b/pkg/shard/slot.go
@@ -9,31 +9,31 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// reserveIn is the number of shards that a request waits in at a time.
-const reserveIn = 2
+// parallelReservations is the number of shards in which a request waits at a time.
+const parallelReservations = 2
 
-// Slot is a grant in this box's hands: the right to run one request on Server.
-// It ends with exactly one call of Finish or Release.
+// Slot is a granted reservation: the right to run one request on Server. Exactly
+// one of Finish and Release must be called.
 type Slot struct {
-	Server string
-	broker *Broker
-	res    *reservation
+	Server      string
+	broker      *Broker
+	reservation *reservation
 }
 
-// Start says that the request goes out now.
+// Start notifies the owner that the request is being sent.
 func (s *Slot) Start() {
-	m := &peerpb.UpMessage{Kind: &peerpb.UpMessage_Start{Start: &peerpb.Start{Shard: s.res.shard, Seq: s.res.seq}}}
+	m := &peerpb.UpMessage{Kind: &peerpb.UpMessage_Start{Start: &peerpb.Start{Shard: s.reservation.shard, Seq: s.reservation.seq}}}
 	b := s.broker
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.send(b.view(s.res.shard).owner, m)
+	b.send(b.state(s.reservation.shard).owner, m)
 }
 
-// Finish ends the use of the slot. The ID in c is not used.
+// Finish releases the slot and reports how the request ended. c.ID is ignored.
 func (s *Slot) Finish(c scheduler.Completion) {
-	s.broker.release(s.res, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Finish{Finish: &peerpb.Finish{
-		Shard:           s.res.shard,
-		Seq:             s.res.seq,
+	s.broker.release(s.reservation, &peerpb.UpMessage{Kind: &peerpb.UpMessage_Finish{Finish: &peerpb.Finish{
+		Shard:           s.reservation.shard,
+		Seq:             s.reservation.seq,
 		Result:          peerpb.Result(c.Result),
 		PromptTokens:    uint32(max(0, c.PromptTokens)),
 		OutputTokens:    uint32(max(0, c.OutputTokens)),
@@ -43,32 +43,33 @@
 }
 
 // Release returns a slot that was not used.
-func (s *Slot) Release() { s.broker.cancel(s.res) }
+func (s *Slot) Release() { s.broker.cancel(s.reservation) }
 
-// Acquire waits for a slot in one of the shards: it reserves in two at a time,
-// takes the first grant and releases the rest. It asks every shard before the
-// request is refused, so that lower-tier work anywhere gives way first. The
-// error is *RefusedError, or ctx's when the caller went away.
-func (b *Broker) Acquire(ctx context.Context, shards []config.Shard, q SlotRequest) (*Slot, error) {
+// Acquire waits for a slot in one of the shards. It reserves in
+// parallelReservations of them at a time, takes the first grant and cancels the
+// rest. It tries every shard before it returns a refusal, so that lower-tier
+// requests in any shard are evicted first. The error is a *RefusedError or that
+// of ctx.
+func (b *Broker) Acquire(ctx context.Context, shards []config.Shard, req SlotRequest) (*Slot, error) {
 	if len(shards) == 0 {
-		return nil, &RefusedError{Reason: scheduler.ReasonNoServer, RetryAfter: ownRetryAfter}
+		return nil, &RefusedError{Reason: scheduler.ReasonNoServer, RetryAfter: defaultRetryAfter}
 	}
-	a := &acquisition{broker: b, query: q, left: shards, decided: make(chan outcome, len(shards))}
-	defer a.cancelRest()
-	for range reserveIn {
-		a.next()
+	a := &acquisition{broker: b, request: req, remaining: shards, outcomes: make(chan outcome, len(shards))}
+	defer a.cancelPending()
+	for range parallelReservations {
+		a.reserveNext()
 	}
-	timeout, stop := deadlineTimer(q.Deadline)
+	timeout, stop := deadlineTimer(req.Deadline)
 	defer stop()
 	for {
 		select {
-		case o := <-a.decided:
-			slot, err := a.take(o)
+		case o := <-a.outcomes:
+			slot, err := a.handleOutcome(o)
 			if slot != nil || err != nil {
 				return slot, err
 			}
 		case <-timeout:
-			return nil, &RefusedError{Reason: scheduler.ReasonDeadline, RetryAfter: ownRetryAfter}
+			return nil, &RefusedError{Reason: scheduler.ReasonDeadline, RetryAfter: defaultRetryAfter}
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -79,60 +80,61 @@
 	if deadline.IsZero() {
 		return nil, func() {}
 	}
-	t := time.NewTimer(time.Until(deadline) + deadlineGrace)
+	t := time.NewTimer(time.Until(deadline) + refusalGrace)
 	return t.C, func() { t.Stop() }
 }
 
-// acquisition is one Acquire under way.
+// acquisition is the state of one call of Acquire.
 type acquisition struct {
-	broker  *Broker
-	query   SlotRequest
-	left    []config.Shard
-	waiting []*reservation
-	decided chan outcome
-	refusal *RefusedError
+	broker    *Broker
+	request   SlotRequest
+	remaining []config.Shard
+	pending   []*reservation
+	outcomes  chan outcome
+	refusal   *RefusedError
 }
 
-// next reserves in one more shard.
-func (a *acquisition) next() {
-	if len(a.left) == 0 {
+// reserveNext reserves in the next shard, if any is left.
+func (a *acquisition) reserveNext() {
+	if len(a.remaining) == 0 {
 		return
 	}
-	sh := a.left[0]
-	a.left = a.left[1:]
-	a.waiting = append(a.waiting, a.broker.reserve(sh.ID, a.query, a.decided))
+	sh := a.remaining[0]
+	a.remaining = a.remaining[1:]
+	a.pending = append(a.pending, a.broker.reserve(sh.ID, a.request, a.outcomes))
 }
 
-// take handles one outcome: a slot, a final refusal, or neither yet.
-func (a *acquisition) take(o outcome) (*Slot, error) {
-	a.waiting = without(a.waiting, o.res)
+// handleOutcome returns a slot, a final refusal, or neither while other
+// reservations are pending.
+func (a *acquisition) handleOutcome(o outcome) (*Slot, error) {
+	a.pending = removeReservation(a.pending, o.reservation)
 	if o.refusal == nil {
-		return &Slot{Server: o.res.server, broker: a.broker, res: o.res}, nil
+		return &Slot{Server: o.reservation.server, broker: a.broker, reservation: o.reservation}, nil
 	}
 	if a.refusal == nil || o.refusal.RetryAfter < a.refusal.RetryAfter {
 		a.refusal = o.refusal
 	}
-	a.next()
-	if len(a.waiting) == 0 {
+	a.reserveNext()
+	if len(a.pending) == 0 {
 		return nil, a.refusal
 	}
 	return nil, nil
 }
 
-// cancelRest releases what still waits. A grant that arrives meanwhile is given
-// back by the same call.
-func (a *acquisition) cancelRest() {
-	for _, r := range a.waiting {
+// cancelPending cancels the pending reservations. Cancelling also returns a slot
+// that was granted in the meantime.
+func (a *acquisition) cancelPending() {
+	for _, r := range a.pending {
 		a.broker.cancel(r)
 	}
 }
 
-func without(list []*reservation, r *reservation) []*reservation {
-	kept := make([]*reservation, 0, len(list))
+func removeReservation(list []*reservation, r *reservation) []*reservation {
+	rest := make([]*reservation, 0, len(list))
 	for _, x := range list {
 		if x != r {
-			kept = append(kept, x)
+			rest = append(rest, x)
 		}
 	}
-	return kept
+	return rest
 }
