--- a/pkg/entry/chat.go
+++ b/pkg/entry/chat.go
@@ -7,33 +7,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// chatBody is a chat completion request. Fields that headhill does not read go
-// through unchanged.
-type chatBody struct {
+// chatRequest is a chat completion request. Fields that headhill does not interpret
+// are forwarded unchanged.
+type chatRequest struct {
 	fields   map[string]json.RawMessage
 	model    string
 	stream   bool
 	messages []json.RawMessage
-	// maxTokens is the caller's bound on the answer, 0 if there is none.
+	// maxTokens is the caller's limit on the answer, 0 if there is none.
 	maxTokens int
-	// choices is the number of answers asked for.
+	// choices is the number of completions requested.
 	choices int
 }
 
 // Fields of a chat completion request.
 const (
-	fieldModel     = "model"
-	fieldStream    = "stream"
-	fieldMessages  = "messages"
-	fieldMaxTokens = "max_tokens"
-	fieldChoices   = "n"
-	fieldContinue  = "continue_final_message"
-	fieldGenerate  = "add_generation_prompt"
+	fieldModel                = "model"
+	fieldStream               = "stream"
+	fieldMessages             = "messages"
+	fieldMaxTokens            = "max_tokens"
+	fieldChoices              = "n"
+	fieldContinueFinalMessage = "continue_final_message"
+	fieldAddGenerationPrompt  = "add_generation_prompt"
 )
 
-// parseChat reads a request's body. The error names the field at fault.
-func parseChat(body []byte) (*chatBody, error) {
-	c := &chatBody{choices: 1}
+// parseChatRequest parses a request body. The error names the invalid field.
+func parseChatRequest(body []byte) (*chatRequest, error) {
+	c := &chatRequest{choices: 1}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
 		return nil, badRequest("the body is no JSON object: %v", err)
 	}
@@ -68,15 +68,15 @@
 	return c, nil
 }
 
-// assistantMessage is the partial answer that an engine is to go on from.
+// assistantMessage is the partial answer that an engine continues.
 type assistantMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// continued returns the body that asks an engine to go on from a partial answer
-// of so many tokens, as the engines' own protocol has it.
-func (c *chatBody) continued(partial string, tokens int) ([]byte, error) {
+// continuationBody returns the request body that makes an engine continue a partial
+// answer of the given number of tokens.
+func (c *chatRequest) continuationBody(partial string, tokens int) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(c.fields)+2)
 	for k, v := range c.fields {
 		fields[k] = v
@@ -89,8 +89,8 @@
 	if fields[fieldMessages], err = json.Marshal(messages); err != nil {
 		return nil, err
 	}
-	fields[fieldContinue] = json.RawMessage("true")
-	fields[fieldGenerate] = json.RawMessage("false")
+	fields[fieldContinueFinalMessage] = json.RawMessage("true")
+	fields[fieldAddGenerationPrompt] = json.RawMessage("false")
 	if c.maxTokens > 0 {
 		if fields[fieldMaxTokens], err = json.Marshal(max(1, c.maxTokens-tokens)); err != nil {
 			return nil, err
@@ -100,16 +100,16 @@
 }
 
 const (
-	// bytesPerToken is the usual size of a token, for estimates.
+	// bytesPerToken is the average token size assumed by estimates.
 	bytesPerToken = 4
-	// prefixBlock is the size of the first prompt prefix that is hashed; each
-	// further one is twice as long.
-	prefixBlock = 256
-	prefixMost  = 12
+	// minPrefixBytes is the length of the shortest prompt prefix that is hashed; each
+	// further prefix is twice as long.
+	minPrefixBytes  = 256
+	maxPrefixHashes = 12
 )
 
-// promptTokens estimates the size of the prompt.
-func (c *chatBody) promptTokens() int {
+// estimatePromptTokens estimates the prompt length in tokens.
+func (c *chatRequest) estimatePromptTokens() int {
 	n := 0
 	for _, m := range c.messages {
 		n += len(m)
@@ -117,40 +117,40 @@
 	return n/bytesPerToken + 1
 }
 
-// prefixes returns hashes of ever longer prefixes of the prompt.
-func (c *chatBody) prefixes() []uint64 {
+// prefixHashes returns the hashes of successively longer prompt prefixes.
+func (c *chatRequest) prefixHashes() []uint64 {
 	d := xxhash.New()
-	// xxhash never fails to write.
+	// Writing to an xxhash digest never fails.
 	_, _ = d.WriteString(c.model)
 	var hashes []uint64
-	next, done := prefixBlock, 0
+	boundary, hashed := minPrefixBytes, 0
 	for _, m := range c.messages {
 		rest := []byte(m)
-		for done+len(rest) >= next {
-			cut := next - done
-			_, _ = d.Write(rest[:cut])
-			rest = rest[cut:]
-			done = next
-			next *= 2
+		for hashed+len(rest) >= boundary {
+			n := boundary - hashed
+			_, _ = d.Write(rest[:n])
+			rest = rest[n:]
+			hashed = boundary
+			boundary *= 2
 			hashes = append(hashes, d.Sum64())
-			if len(hashes) == prefixMost {
+			if len(hashes) == maxPrefixHashes {
 				return hashes
 			}
 		}
 		_, _ = d.Write(rest)
-		done += len(rest)
+		hashed += len(rest)
 	}
 	return hashes
 }
 
-// chunk is the part of a streamed event that headhill reads.
+// chunk holds the fields of a streamed event that headhill interprets.
 type chunk struct {
 	ID      string        `json:"id"`
 	Choices []chunkChoice `json:"choices"`
 	Error   *chunkError   `json:"error"`
 }
 
-// reset clears a chunk but keeps its memory.
+// reset clears a chunk and keeps the capacity of its slice.
 func (c *chunk) reset() {
 	clear(c.Choices)
 	*c = chunk{Choices: c.Choices[:0]}
@@ -173,42 +173,42 @@
 	Message string `json:"message"`
 }
 
-// answerPrefix stands before the request's ID in the answer's.
-const answerPrefix = "chatcmpl-"
+// answerIDPrefix precedes the request ID in the ID of an answer.
+const answerIDPrefix = "chatcmpl-"
 
-// answer gathers what a caller has received of a streamed answer, over all the
-// engines that it came from.
+// answer accumulates the streamed answer that was sent to a caller, across all
+// engines that contributed to it.
 type answer struct {
-	id       string
-	text     strings.Builder
-	tokens   int
-	finished bool
-	// opaque answers hold more than text of one choice: another engine can't go
-	// on with them.
-	opaque bool
-	// started is set once anything went to the caller.
-	started bool
+	id         string
+	text       strings.Builder
+	tokenCount int
+	complete   bool
+	// nonResumable is set when the answer holds more than the text of one choice, so
+	// that another engine can't continue it.
+	nonResumable bool
+	// responseStarted is set once anything was sent to the caller.
+	responseStarted bool
 }
 
-// take notes a chunk. It returns false for a chunk that only repeats how the
-// answer begins, as a continuing engine's first one does.
-func (a *answer) take(c *chunk) bool {
+// addChunk adds a chunk to the answer. It returns false for a chunk that must not be
+// forwarded: an engine that continues an answer sends the initial role again.
+func (a *answer) addChunk(c *chunk) bool {
 	if len(c.Choices) != 1 {
-		// Usage and the like.
-		a.opaque = a.opaque || len(c.Choices) > 1
+		// Events without choices carry usage statistics.
+		a.nonResumable = a.nonResumable || len(c.Choices) > 1
 		return true
 	}
 	ch := &c.Choices[0]
-	if ch.Index != 0 || hasValue(ch.Delta.ToolCalls) || hasValue(ch.Logprobs) {
-		a.opaque = true
+	if ch.Index != 0 || isSet(ch.Delta.ToolCalls) || isSet(ch.Logprobs) {
+		a.nonResumable = true
 	}
-	a.finished = a.finished || ch.FinishReason != ""
+	a.complete = a.complete || ch.FinishReason != ""
 	if ch.Delta.Content != "" {
 		a.text.WriteString(ch.Delta.Content)
-		a.tokens++
+		a.tokenCount++
 	}
-	opening := ch.Delta.Role != "" && ch.Delta.Content == "" && ch.FinishReason == ""
-	return !opening || !a.started
+	roleOnly := ch.Delta.Role != "" && ch.Delta.Content == "" && ch.FinishReason == ""
+	return !roleOnly || !a.responseStarted
 }
 
-func hasValue(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
+func isSet(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
--- a/pkg/entry/close.go
+++ b/pkg/entry/close.go
@@ -14,44 +14,43 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// close tells the caller how a request ended, if that was not part of the answer
-// already, and writes it down.
-func (h *Handler) close(w http.ResponseWriter, r *http.Request, req *request, err error) {
+// finish sends the error of a failed request to the caller and records the outcome.
+func (h *Handler) finish(w http.ResponseWriter, r *http.Request, req *request, err error) {
 	if err == nil {
 		h.record(req, api.OutcomeDone, nil)
 		return
 	}
 	if errors.Is(err, context.Canceled) && r.Context().Err() != nil {
-		h.record(req, gone(req), err)
+		h.record(req, disconnectOutcome(req), err)
 		return
 	}
 	h.fail(w, req, err)
 }
 
-// gone is the outcome of a request whose caller left: nobody is told, but the
-// log is.
-func gone(req *request) api.Outcome {
-	if req.maybeRan || req.begun {
+// disconnectOutcome returns the outcome, for the log only, of a request whose caller
+// disconnected.
+func disconnectOutcome(req *request) api.Outcome {
+	if req.mayHaveRun || req.responseStarted {
 		return api.OutcomeUnknown
 	}
 	return api.OutcomeNotRun
 }
 
 func (h *Handler) fail(w http.ResponseWriter, req *request, err error) {
-	v := judge(err)
-	h.record(req, v.outcome, err)
+	resp := newErrorResponse(err)
+	h.record(req, resp.outcome, err)
 	switch {
-	case !req.begun:
-		v.write(w, req.id)
+	case !req.responseStarted:
+		resp.write(w, req.id)
 	case req.service.Kind == config.KindEngine:
-		breakStream(w, v, req.id)
+		sendErrorEvent(w, resp, req.id)
 	default:
-		// Half an answer must not look like a whole one.
+		// Abort the connection so that a truncated answer does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// record writes one request's end to the log and the metrics.
+// record logs the end of a request and updates the metrics.
 func (h *Handler) record(req *request, outcome api.Outcome, err error) {
 	now := time.Now()
 	t := telemetry.Request{
@@ -60,21 +59,21 @@
 		Outcome:      string(outcome),
 		Status:       req.status,
 		Total:        now.Sub(req.arrival),
-		Between:      req.between(),
-		Tokens:       req.tokens,
-		Wasted:       req.wasted,
+		Between:      req.interTokenLatency(),
+		Tokens:       req.tokenCount,
+		Wasted:       req.wastedTokens,
 		Retries:      max(0, len(req.servers)-1),
 	}
-	if !req.granted.IsZero() {
-		t.QueueWait = req.granted.Sub(req.arrival)
+	if !req.grantedAt.IsZero() {
+		t.QueueWait = req.grantedAt.Sub(req.arrival)
 	}
-	if !req.firstToken.IsZero() {
-		t.FirstToken = req.firstToken.Sub(req.arrival)
+	if !req.firstTokenAt.IsZero() {
+		t.FirstToken = req.firstTokenAt.Sub(req.arrival)
 	}
 	if outcome != api.OutcomeDone {
-		t.Wasted += req.tokens
+		t.Wasted += req.tokenCount
 	}
-	t.Attained = outcome == api.OutcomeDone && within(t.FirstToken, req.class.FirstToken) && within(t.Between, req.class.Between)
+	t.Attained = outcome == api.OutcomeDone && meetsTarget(t.FirstToken, req.class.FirstToken) && meetsTarget(t.Between, req.class.Between)
 	h.Metrics.Record(t)
 	logger := level.Info(h.Logger)
 	if err != nil {
@@ -86,4 +85,4 @@
 		"outcome", outcome, "err", err)
 }
 
-func within(d, target time.Duration) bool { return target <= 0 || d <= target }
+func meetsTarget(d, target time.Duration) bool { return target <= 0 || d <= target }
--- a/pkg/entry/doc.go
+++ b/pkg/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry is the callers' side of a box: it takes requests in, holds them
-// while their reservation waits, runs each by one dispatcher, and tells every
-// caller exactly one of three things: done, not run, or unknown.
+// Package entry serves the callers of a box. It admits requests, queues them until a
+// slot is granted, dispatches each to one server at a time, and reports exactly one
+// outcome to every caller: done, not run, or unknown.
 package entry
--- a/pkg/entry/errors.go
+++ b/pkg/entry/errors.go
@@ -17,7 +17,7 @@
 	"headhill.example/headhill/pkg/shard"
 )
 
-// Types of errors, as callers' programs see them.
+// Error types in the bodies of error answers.
 const (
 	typeBadRequest   = "bad_request"
 	typeUnauthorized = "unauthorized"
@@ -27,12 +27,12 @@
 	typeBusy         = "busy"
 	typeRefused      = "refused"
 	typeClaims       = "claims_unavailable"
-	typeTaken        = "key_taken"
+	typeKeyTaken     = "key_taken"
 	typeUnknown      = "outcome_unknown"
 	typeNotStarted   = "not_started"
 )
 
-// RequestError is a request that was answered without running. It says so.
+// RequestError reports that a request was rejected without running.
 type RequestError struct {
 	Status  int
 	Type    string
@@ -45,85 +45,84 @@
 	return &RequestError{Status: http.StatusBadRequest, Type: typeBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
-// TakenError says that a keyed request was sent before.
-type TakenError struct{ Done bool }
+// KeyTakenError reports that the idempotency key of a request was used before.
+type KeyTakenError struct{ Done bool }
 
-func (e *TakenError) Error() string {
+func (e *KeyTakenError) Error() string {
 	if e.Done {
 		return "a request with this idempotency key ran to its end before: it was not run again; look at its first answer"
 	}
 	return "a request with this idempotency key was sent before and may have run: it was not run again; look at the service's own record"
 }
 
-// UnknownError says that a request may have run.
-type UnknownError struct{ Cause error }
+// UnknownOutcomeError reports that a request may have run.
+type UnknownOutcomeError struct{ Cause error }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("the request may have run, its answer is not whole: %v", e.Cause)
 }
 
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// callerError says that a caller could not be written to: it left, or reads too
-// slowly.
-type callerError struct{ Cause error }
+// callerWriteError reports that writing to the caller failed: it disconnected, or
+// reads too slowly.
+type callerWriteError struct{ Cause error }
 
-func (e *callerError) Error() string {
+func (e *callerWriteError) Error() string {
 	return fmt.Sprintf("the caller can't be written to: %v", e.Cause)
 }
 
-func (e *callerError) Unwrap() error { return e.Cause }
+func (e *callerWriteError) Unwrap() error { return e.Cause }
 
-func isCaller(err error) bool {
-	var e *callerError
+func isCallerWriteError(err error) bool {
+	var e *callerWriteError
 	return errors.As(err, &e)
 }
 
-// verdict is what a caller is told of a request that failed.
-type verdict struct {
+// errorResponse is the answer to a failed request.
+type errorResponse struct {
 	status     int
-	typ        string
+	errorType  string
 	message    string
 	outcome    api.Outcome
 	retryAfter time.Duration
 }
 
-// judge turns an error into a verdict. What it does not know is unknown.
-func judge(err error) verdict {
+// newErrorResponse converts an error. The outcome of unrecognized errors is unknown.
+func newErrorResponse(err error) errorResponse {
 	var (
-		unknown    *UnknownError
+		unknown    *UnknownOutcomeError
 		request    *RequestError
 		refused    *shard.RefusedError
-		taken      *TakenError
+		taken      *KeyTakenError
 		claim      *claims.UnavailableError
 		notStarted *backend.NotStartedError
 	)
-	// First what may have run, whatever ended it at last: an UnknownError may wrap
-	// a refusal of the second attempt.
+	// Check UnknownOutcomeError first: it may wrap the refusal of a later attempt.
 	if errors.As(err, &unknown) {
-		return judgeUnknown(err)
+		return unknownOutcomeResponse(err)
 	}
 	switch {
 	case errors.As(err, &request):
-		return verdict{status: request.Status, typ: request.Type, message: request.Message, outcome: api.OutcomeNotRun}
+		return errorResponse{status: request.Status, errorType: request.Type, message: request.Message, outcome: api.OutcomeNotRun}
 	case errors.As(err, &refused):
-		return judgeRefused(refused)
+		return refusedResponse(refused)
 	case errors.As(err, &claim):
-		return verdict{status: http.StatusServiceUnavailable, typ: typeClaims, message: claim.Error(), outcome: api.OutcomeNotRun, retryAfter: claimRetryAfter}
+		return errorResponse{status: http.StatusServiceUnavailable, errorType: typeClaims, message: claim.Error(), outcome: api.OutcomeNotRun, retryAfter: claimRetryAfter}
 	case errors.As(err, &taken):
-		return judgeTaken(taken)
+		return keyTakenResponse(taken)
 	case errors.As(err, &notStarted):
-		return verdict{status: http.StatusServiceUnavailable, typ: typeNotStarted, message: err.Error(), outcome: api.OutcomeNotRun, retryAfter: max(notStarted.RetryAfter, serverRetryAfter)}
+		return errorResponse{status: http.StatusServiceUnavailable, errorType: typeNotStarted, message: err.Error(), outcome: api.OutcomeNotRun, retryAfter: max(notStarted.RetryAfter, serverRetryAfter)}
 	}
-	return judgeUnknown(err)
+	return unknownOutcomeResponse(err)
 }
 
-func judgeUnknown(err error) verdict {
-	v := verdict{status: http.StatusBadGateway, typ: typeUnknown, message: err.Error(), outcome: api.OutcomeUnknown}
-	if errors.Is(err, context.DeadlineExceeded) || isSilent(err) {
-		v.status = http.StatusGatewayTimeout
+func unknownOutcomeResponse(err error) errorResponse {
+	resp := errorResponse{status: http.StatusBadGateway, errorType: typeUnknown, message: err.Error(), outcome: api.OutcomeUnknown}
+	if errors.Is(err, context.DeadlineExceeded) || isAnswerTimeout(err) {
+		resp.status = http.StatusGatewayTimeout
 	}
-	return v
+	return resp
 }
 
 const (
@@ -131,48 +130,48 @@
 	serverRetryAfter = time.Second
 )
 
-func isSilent(err error) bool {
+func isAnswerTimeout(err error) bool {
 	var e *backend.AnswerTimeoutError
 	return errors.As(err, &e)
 }
 
-func judgeRefused(e *shard.RefusedError) verdict {
-	v := verdict{status: http.StatusServiceUnavailable, typ: typeRefused, message: e.Error(), outcome: api.OutcomeNotRun, retryAfter: e.RetryAfter}
+func refusedResponse(e *shard.RefusedError) errorResponse {
+	resp := errorResponse{status: http.StatusServiceUnavailable, errorType: typeRefused, message: e.Error(), outcome: api.OutcomeNotRun, retryAfter: e.RetryAfter}
 	if e.Reason == scheduler.ReasonLimit {
-		v.status = http.StatusTooManyRequests
+		resp.status = http.StatusTooManyRequests
 	}
-	return v
+	return resp
 }
 
-// judgeTaken: that the key was taken before says nothing certain of the first
-// request, so the outcome is the known end or unknown.
-func judgeTaken(e *TakenError) verdict {
-	v := verdict{status: http.StatusConflict, typ: typeTaken, message: e.Error(), outcome: api.OutcomeUnknown}
+// keyTakenResponse answers with the outcome of the first request that used the key,
+// which is unknown unless that request is recorded as done.
+func keyTakenResponse(e *KeyTakenError) errorResponse {
+	resp := errorResponse{status: http.StatusConflict, errorType: typeKeyTaken, message: e.Error(), outcome: api.OutcomeUnknown}
 	if e.Done {
-		v.outcome = api.OutcomeDone
+		resp.outcome = api.OutcomeDone
 	}
-	return v
+	return resp
 }
 
-// write sends the verdict as the whole answer.
-func (v verdict) write(w http.ResponseWriter, id string) {
+// write sends the error as a complete answer.
+func (resp errorResponse) write(w http.ResponseWriter, id string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(api.HeaderOutcome, string(v.outcome))
-	if v.retryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(v.retryAfter.Seconds()))))
+	h.Set(api.HeaderOutcome, string(resp.outcome))
+	if resp.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(resp.retryAfter.Seconds()))))
 	}
-	w.WriteHeader(v.status)
-	_, _ = w.Write(v.body(id))
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body(id))
 }
 
-func (v verdict) body(id string) []byte {
-	// A plain struct always encodes.
+func (resp errorResponse) body(id string) []byte {
+	// Encoding a struct of strings and integers never fails.
 	b, _ := json.Marshal(api.ErrorBody{Error: api.Error{
-		Type:             v.typ,
-		Message:          v.message,
-		Outcome:          v.outcome,
-		RetryAfterMillis: v.retryAfter.Milliseconds(),
+		Type:             resp.errorType,
+		Message:          resp.message,
+		Outcome:          resp.outcome,
+		RetryAfterMillis: resp.retryAfter.Milliseconds(),
 		RequestID:        id,
 	}})
 	return b
--- a/pkg/entry/exchange_test.go
+++ b/pkg/entry/exchange_test.go
@@ -22,16 +22,16 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-const tokens = 3
+const answerTokens = 3
 
-// withEngines runs fn against two engines that give the same answers.
+// withEngines runs fn with two engines that give identical answers.
 func withEngines(t *testing.T, fn func(h *Handler, engines [2]*engine.Engine, servers [2]config.Server)) {
 	t.Helper()
 	var engines [2]*engine.Engine
 	var servers [2]config.Server
 	for i := range engines {
 		o := engine.DefaultOptions()
-		o.StepBase, o.StepEach, o.Tokens = 50*time.Microsecond, 0, tokens
+		o.StepBase, o.StepEach, o.Tokens = 50*time.Microsecond, 0, answerTokens
 		engines[i] = engine.New(o)
 		s := httptest.NewServer(engines[i])
 		defer s.Close()
@@ -42,19 +42,19 @@
 	defer c.Close()
 	metrics, err := telemetry.New()
 	require.NoError(t, err)
-	fn(&Handler{Deps: Deps{Backend: c, Metrics: metrics, Logger: log.NewNopLogger()}, budget: newRetryBudget(), patience: callerTimeout}, engines, servers)
+	fn(&Handler{Deps: Deps{Backend: c, Metrics: metrics, Logger: log.NewNopLogger()}, budget: newRetryBudget(), writeTimeout: callerWriteTimeout}, engines, servers)
 }
 
-// newExchange is a chat exchange whose caller is a recorder.
-func newExchange(t *testing.T, h *Handler, id string, stream bool, bound int) (*chatExchange, *httptest.ResponseRecorder) {
+// newExchange returns a chat exchange whose caller is a recorder.
+func newExchange(t *testing.T, h *Handler, id string, stream bool, maxTokens int) (*chatExchange, *httptest.ResponseRecorder) {
 	t.Helper()
-	raw := fmt.Sprintf(`{"model":"m","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"who am i %s"}]}`, stream, bound, id)
-	body, err := parseChat([]byte(raw))
+	raw := fmt.Sprintf(`{"model":"m","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"who am i %s"}]}`, stream, maxTokens, id)
+	chat, err := parseChatRequest([]byte(raw))
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
 	req := &request{id: id, arrival: time.Now(), body: []byte(raw), service: config.Service{Kind: config.KindEngine}}
-	x := &chatExchange{h: h, w: w, req: req, body: body}
-	x.answer.id = answerPrefix + id
+	x := &chatExchange{h: h, w: w, req: req, chat: chat}
+	x.answer.id = answerIDPrefix + id
 	return x, w
 }
 
@@ -62,7 +62,7 @@
 	return strings.Join(engine.Answer("who am i "+id, n), "")
 }
 
-// received is what a caller makes of the recorded stream.
+// received decodes the recorded stream as a caller would.
 func received(t *testing.T, w *httptest.ResponseRecorder) (text string, roles, ends int) {
 	t.Helper()
 	r := sse.NewReader(w.Body)
@@ -71,7 +71,7 @@
 		if err != nil {
 			return text, roles, ends
 		}
-		if string(data) == streamEnd {
+		if string(data) == streamEndMarker {
 			ends++
 			continue
 		}
@@ -84,30 +84,30 @@
 	}
 }
 
-// An engine that crashes at any byte of its stream costs the caller nothing: the
-// answer goes on elsewhere and is whole, without a gap or a repetition.
+// When an engine crashes at any byte of its stream, another engine continues the
+// answer without a gap or a repetition.
 func TestCrashAtEveryByteOfAStream(t *testing.T) {
-	for _, bound := range []int{0, tokens - 1} {
-		t.Run(fmt.Sprint("max_tokens=", bound), func(t *testing.T) { crashAtEveryByte(t, bound) })
+	for _, maxTokens := range []int{0, answerTokens - 1} {
+		t.Run(fmt.Sprint("max_tokens=", maxTokens), func(t *testing.T) { crashAtEveryByte(t, maxTokens) })
 	}
 }
 
-func crashAtEveryByte(t *testing.T, bound int) {
+func crashAtEveryByte(t *testing.T, maxTokens int) {
 	withEngines(t, func(h *Handler, engines [2]*engine.Engine, servers [2]config.Server) {
 		ctx := t.Context()
-		crashes, length := 0, tokens
-		if bound > 0 {
-			length = bound
+		crashes, length := 0, answerTokens
+		if maxTokens > 0 {
+			length = maxTokens
 		}
 		for at := 1; ; at++ {
 			engines[0].SetFaults(engine.Faults{CrashAfterBytes: at})
 			id := fmt.Sprint("r", at)
-			x, w := newExchange(t, h, id, true, bound)
+			x, w := newExchange(t, h, id, true, maxTokens)
 			_, err := x.do(ctx, servers[0])
 			if err != nil {
 				crashes++
-				var broken *backend.InterruptedError
-				require.ErrorAs(t, err, &broken, "byte %d", at)
+				var interrupted *backend.InterruptedError
+				require.ErrorAs(t, err, &interrupted, "byte %d", at)
 				_, err = x.do(ctx, servers[1])
 			}
 			require.NoError(t, err, "byte %d", at)
@@ -116,7 +116,7 @@
 			require.Equal(t, 1, roles, "byte %d", at)
 			require.Equal(t, 1, ends, "byte %d", at)
 			if at > crashes+50 {
-				// Well past the end of the stream.
+				// The limit is well past the end of the stream.
 				break
 			}
 		}
@@ -130,11 +130,11 @@
 			engines[0].SetFaults(engine.Faults{CrashAfterBytes: at})
 			x, w := newExchange(t, h, "r", false, 0)
 			if _, err := x.do(t.Context(), servers[0]); err != nil {
-				require.Empty(t, w.Body.Bytes(), "half an answer went out at byte %d", at)
+				require.Empty(t, w.Body.Bytes(), "a truncated answer was sent after a crash at byte %d", at)
 				_, err = x.do(t.Context(), servers[1])
 				require.NoError(t, err)
 			}
-			require.Contains(t, w.Body.String(), wantText("r", tokens))
+			require.Contains(t, w.Body.String(), wantText("r", answerTokens))
 		}
 	})
 }
@@ -170,18 +170,18 @@
 	})
 }
 
-// An answer that holds more than text can't be continued by another engine: its
-// end is unknown, never a clean one.
+// An answer that holds more than text can't be continued by another engine and must
+// not be retried.
 func TestOpaqueAnswerIsNotContinued(t *testing.T) {
 	var a answer
 	var c chunk
 	require.NoError(t, json.Unmarshal([]byte(`{"id":"x","choices":[{"index":0,"delta":{"tool_calls":[{}]}}]}`), &c))
-	a.take(&c)
-	require.True(t, a.opaque)
-	q := &request{begun: true, opaque: true, service: config.Service{Kind: config.KindEngine}}
-	require.True(t, q.stuck())
+	a.addChunk(&c)
+	require.True(t, a.nonResumable)
+	req := &request{responseStarted: true, nonResumable: true, service: config.Service{Kind: config.KindEngine}}
+	require.True(t, req.cannotContinue())
 	h := &Handler{budget: newRetryBudget()}
-	require.False(t, h.mayRetry(t.Context(), q, &backend.InterruptedError{}, 0))
+	require.False(t, h.shouldRetry(t.Context(), req, &backend.InterruptedError{}, 0))
 }
 
 func TestForwardedHeaders(t *testing.T) {
@@ -199,17 +199,17 @@
 		"Upgrade":                     {"h2c"},
 		http.CanonicalHeaderKey("te"): {"trailers"},
 	}
-	require.Equal(t, http.Header{"Idempotency-Key": {"k"}, "X-Kept": {"a", "b"}}, forwarded(in))
+	require.Equal(t, http.Header{"Idempotency-Key": {"k"}, "X-Kept": {"a", "b"}}, forwardedHeader(in))
 }
 
-// A caller that keeps its connection and comes back after a while must not meet the
-// deadline of its last answer.
-func TestKeptConnectionOutlivesAnAnswersDeadline(t *testing.T) {
+// The write deadline of an answer must not apply to the next request on the same
+// connection.
+func TestWriteDeadlineDoesNotOutliveAnswer(t *testing.T) {
 	withEngines(t, func(h *Handler, _ [2]*engine.Engine, servers [2]config.Server) {
-		h.patience = 300 * time.Millisecond
+		h.writeTimeout = 300 * time.Millisecond
 		h.Limits = settings.Default().Limits
 		n := 0
-		serve := h.bounded(func(w http.ResponseWriter, r *http.Request, req *request) error {
+		serve := h.admit(func(w http.ResponseWriter, r *http.Request, req *request) error {
 			if n++; n > 1 {
 				return badRequest("no answer this time")
 			}
@@ -220,14 +220,14 @@
 		}, func(*http.Request, *request) error { return nil })
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serve(w, r, nil) }))
 		defer s.Close()
-		for _, want := range []string{streamEnd, "no answer this time"} {
+		for _, want := range []string{streamEndMarker, "no answer this time"} {
 			resp, err := s.Client().Post(s.URL, "application/json", strings.NewReader("{}"))
 			require.NoError(t, err)
 			body, err := io.ReadAll(resp.Body)
 			require.NoError(t, err)
 			require.Contains(t, string(body), want)
 			resp.Body.Close()
-			time.Sleep(2 * h.patience)
+			time.Sleep(2 * h.writeTimeout)
 		}
 	})
 }
@@ -238,15 +238,15 @@
 	f.Add([]byte(`{"model":"m","messages":[]}`))
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, err := parseChat(data)
+		c, err := parseChatRequest(data)
 		if err != nil {
-			require.Equal(t, http.StatusBadRequest, judge(err).status)
+			require.Equal(t, http.StatusBadRequest, newErrorResponse(err).status)
 			return
 		}
-		require.LessOrEqual(t, len(c.prefixes()), prefixMost)
-		again, err := c.continued("partial", 1)
+		require.LessOrEqual(t, len(c.prefixHashes()), maxPrefixHashes)
+		body, err := c.continuationBody("partial", 1)
 		require.NoError(t, err)
-		_, err = parseChat(again)
+		_, err = parseChatRequest(body)
 		require.NoError(t, err)
 	})
 }
--- a/pkg/entry/handler.go
+++ b/pkg/entry/handler.go
@@ -25,7 +25,7 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// Deps are what the callers' side is built on.
+// Deps holds the dependencies of a Handler.
 type Deps struct {
 	Limits  settings.Limits
 	Hall    string
@@ -36,33 +36,33 @@
 	Claims  *claims.Client
 	Metrics *telemetry.Metrics
 	Logger  log.Logger
-	// Ready tells whether the box should get callers.
+	// Ready reports whether the box accepts callers.
 	Ready func() bool
 }
 
-// Handler answers callers.
+// Handler serves the HTTP requests of callers.
 type Handler struct {
 	Deps
-	router  *httprouter.Router
-	budget  *retryBudget
-	running atomic.Int64
-	held    atomic.Int64
-	// patience bounds how long a caller may take to read a piece of its answer.
-	patience time.Duration
+	router    *httprouter.Router
+	budget    *retryBudget
+	inFlight  atomic.Int64
+	bodyBytes atomic.Int64
+	// writeTimeout bounds each write of a part of an answer to its caller.
+	writeTimeout time.Duration
 }
 
-// Paths of the caller's interface.
+// Paths of the callers' API.
 const (
 	pathChat     = "/v1/chat/completions"
 	pathServices = "/services/:service/*path"
 )
 
-// NewHandler returns the callers' handler.
+// NewHandler returns a handler for the callers' API.
 func NewHandler(d Deps) *Handler {
-	h := &Handler{Deps: d, router: httprouter.New(), budget: newRetryBudget(), patience: callerTimeout}
-	h.router.POST(pathChat, h.bounded(h.chat, h.identify))
+	h := &Handler{Deps: d, router: httprouter.New(), budget: newRetryBudget(), writeTimeout: callerWriteTimeout}
+	h.router.POST(pathChat, h.admit(h.serveChat, h.authenticate))
 	for _, m := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
-		h.router.Handle(m, pathServices, h.bounded(h.plain, h.identify))
+		h.router.Handle(m, pathServices, h.admit(h.servePlain, h.authenticate))
 	}
 	h.router.GET(readiness.Path, readiness.Handle(d.Ready))
 	h.router.NotFound = http.HandlerFunc(notFound)
@@ -74,9 +74,9 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
 // InFlight returns the number of requests in progress.
-func (h *Handler) InFlight() int { return int(h.running.Load()) }
+func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
-// Server returns an http.Server with the settings' bounds.
+// Server returns an http.Server with the configured limits.
 func (h *Handler) Server() *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -92,43 +92,42 @@
 		Type:    typeNoRoute,
 		Message: "no such path: call POST " + pathChat + ", or /services/NAME/PATH",
 	}
-	judge(err).write(w, "")
+	newErrorResponse(err).write(w, "")
 }
 
-// serve answers one request whose caller is known and whose body is there.
-type serve func(http.ResponseWriter, *http.Request, *request) error
+// requestFunc answers an authenticated request whose body has been read.
+type requestFunc func(http.ResponseWriter, *http.Request, *request) error
 
-// bounded admits a bounded number of requests, identifies their callers, and ends
-// each with a verdict.
-func (h *Handler) bounded(serve serve, identify func(*http.Request, *request) error) httprouter.Handle {
+// admit limits the requests in flight, authenticates callers, reads bodies, and ends
+// each request with an outcome.
+func (h *Handler) admit(serve requestFunc, authenticate func(*http.Request, *request) error) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		req := newRequest(p)
 		w.Header().Set(api.HeaderRequestID, req.id)
-		defer h.running.Add(-1)
-		if h.running.Add(1) > int64(h.Limits.Requests) {
+		defer h.inFlight.Add(-1)
+		if h.inFlight.Add(1) > int64(h.Limits.Requests) {
 			h.fail(w, req, &RequestError{
 				Status: http.StatusServiceUnavailable, Type: typeBusy,
 				Message: "this box holds as many requests as it may: ask again",
 			})
 			return
 		}
-		defer func() { h.held.Add(-int64(len(req.body))) }()
-		// The bound stands until the body is there whole. It also bounds what the
-		// server still reads of a request that was refused before.
+		defer func() { h.bodyBytes.Add(-int64(len(req.body))) }()
+		// The deadline holds until the body is complete. It also covers the rest of the
+		// body, which net/http reads after a request was rejected.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(h.Limits.BodyTimeout))
-		err := identify(r, req)
+		err := authenticate(r, req)
 		if err == nil {
 			err = h.readBody(w, r, req)
 		}
 		if err == nil {
 			err = serve(w, r, req)
 		}
-		h.close(w, r, req, err)
+		h.finish(w, r, req, err)
 	}
 }
 
-// request is one caller's request on its way through the box. Exactly one
-// goroutine works on it.
+// request is the state of a caller's request. It is used by one goroutine at a time.
 type request struct {
 	id      string
 	params  httprouter.Params
@@ -137,26 +136,26 @@
 	class   config.Class
 	service config.Service
 	body    []byte
-	// once marks a request that may not be repeated, key names it.
-	once    bool
-	key     string
-	attempt string
-	claimed bool
-	fence   string
-	// maybeRan is set once an exchange broke after something was written.
-	maybeRan bool
-	// begun is set once a part of the answer went to the caller.
-	begun bool
-	// opaque answers hold more than text of one choice.
-	opaque  bool
-	servers []string
-
-	granted    time.Time
-	firstToken time.Time
-	lastToken  time.Time
-	tokens     int
-	wasted     int
-	status     int
+	// atMostOnce marks a request that must not be repeated; key is its idempotency key.
+	atMostOnce bool
+	key        string
+	attemptID  string
+	claimed    bool
+	fence      string
+	// mayHaveRun is set when an exchange was interrupted after something was written.
+	mayHaveRun bool
+	// responseStarted is set once a part of the answer was sent to the caller.
+	responseStarted bool
+	// nonResumable mirrors answer.nonResumable.
+	nonResumable bool
+	servers      []string
+
+	grantedAt    time.Time
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	tokenCount   int
+	wastedTokens int
+	status       int
 }
 
 func newRequest(p httprouter.Params) *request {
@@ -170,8 +169,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// identify finds out who calls.
-func (h *Handler) identify(r *http.Request, req *request) error {
+// authenticate identifies the organisation of the caller by its API key.
+func (h *Handler) authenticate(r *http.Request, req *request) error {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return unauthorized("send the organisation's API key as Authorization: Bearer KEY")
@@ -187,14 +186,14 @@
 	return &RequestError{Status: http.StatusUnauthorized, Type: typeUnauthorized, Message: message}
 }
 
-// readBody reads the whole body within the bounds of size, time and memory.
+// readBody reads the body within the limits on size, time and memory.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
-	if h.held.Load() > int64(h.Limits.Held) {
+	if h.bodyBytes.Load() > int64(h.Limits.Held) {
 		return &RequestError{Status: http.StatusServiceUnavailable, Type: typeBusy, Message: "this box holds as much as it may: ask again"}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.Limits.Body)))
 	req.body = body
-	h.held.Add(int64(len(body)))
+	h.bodyBytes.Add(int64(len(body)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &RequestError{Status: http.StatusRequestEntityTooLarge, Type: typeTooLarge, Message: "the body is larger than this box takes: shorten it, or raise [limits] body"}
@@ -205,8 +204,8 @@
 	return http.NewResponseController(w).SetReadDeadline(time.Time{})
 }
 
-// classify works out the request's class and whether it may be repeated, from
-// its header, the service and the organisation, in that order.
+// classify determines the class of a request, and whether it may be repeated, from
+// its headers, the service and the organisation, in that order.
 func (h *Handler) classify(r *http.Request, req *request) error {
 	name := r.Header.Get(api.HeaderClass)
 	if name == "" {
@@ -223,26 +222,26 @@
 		return &RequestError{Status: http.StatusForbidden, Type: typeForbidden, Message: "organisation " + req.org.Name + " may not use class " + name + ": name one of " + strings.Join(req.org.Classes, ", ")}
 	}
 	req.class = class
-	return req.readRepeatable(r)
+	return req.readRepeatability(r)
 }
 
-const keyMost = 256
+const maxIdempotencyKeyBytes = 256
 
-func (q *request) readRepeatable(r *http.Request) error {
+func (req *request) readRepeatability(r *http.Request) error {
 	switch v := r.Header.Get(api.HeaderRepeatable); v {
 	case "":
-		q.once = !q.service.Repeatable
+		req.atMostOnce = !req.service.Repeatable
 	case "yes":
-		q.once = false
+		req.atMostOnce = false
 	case "no":
-		q.once = true
+		req.atMostOnce = true
 	default:
 		return badRequest("%s is %q: send yes or no", api.HeaderRepeatable, v)
 	}
-	q.key = r.Header.Get(api.HeaderIdempotencyKey)
-	if len(q.key) > keyMost {
-		return badRequest("%s is longer than %d bytes: shorten it", api.HeaderIdempotencyKey, keyMost)
+	req.key = r.Header.Get(api.HeaderIdempotencyKey)
+	if len(req.key) > maxIdempotencyKeyBytes {
+		return badRequest("%s is longer than %d bytes: shorten it", api.HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
-	q.attempt = q.id
+	req.attemptID = req.id
 	return nil
 }
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -17,12 +17,12 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// bufferMost is how much of a plain service's answer is held back, so that one
-// that breaks early can still be asked for elsewhere.
-const bufferMost = 256 << 10
+// maxBufferedBytes is how much of a plain service's answer is buffered before it is
+// forwarded. The request can be retried if the exchange is interrupted before that.
+const maxBufferedBytes = 256 << 10
 
-// plain serves /services/NAME/PATH.
-func (h *Handler) plain(w http.ResponseWriter, r *http.Request, req *request) error {
+// servePlain serves /services/NAME/PATH.
+func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request, req *request) error {
 	name := req.params.ByName("service")
 	service, ok := h.Store.Current().Service(name)
 	if !ok || service.Kind != config.KindPlain {
@@ -33,18 +33,18 @@
 		return err
 	}
 	ctx := r.Context()
-	if req.once {
-		// What may not be repeated is not broken off because its caller left: its
-		// end is worth knowing.
+	if req.atMostOnce {
+		// Complete a non-repeatable request even if its caller disconnects, so that
+		// its outcome is known.
 		ctx = context.WithoutCancel(ctx)
 	}
 	x := &plainExchange{h: h, w: w, r: r, req: req}
-	err := h.run(ctx, req, h.query(req, len(req.body)/bytesPerToken+1, nil), x.do)
+	err := h.dispatch(ctx, req, h.slotRequest(req, len(req.body)/bytesPerToken+1, nil), x.do)
 	h.endClaim(ctx, req, err)
 	return err
 }
 
-// plainExchange passes a plain service's answer to its caller.
+// plainExchange forwards the answer of a plain service to the caller.
 type plainExchange struct {
 	h   *Handler
 	w   http.ResponseWriter
@@ -58,30 +58,30 @@
 		Server:     s,
 		Method:     x.r.Method,
 		Path:       x.path(),
-		Header:     forwarded(x.r.Header),
+		Header:     forwardedHeader(x.r.Header),
 		Body:       x.req.body,
 		RequestID:  x.req.id,
-		AtMostOnce: x.req.once,
+		AtMostOnce: x.req.atMostOnce,
 		Fence:      x.req.fence,
 	})
 	if err != nil {
 		return scheduler.Completion{}, err
 	}
 	defer resp.Body.Close()
-	if resp.Status >= 502 && !x.req.once {
+	if resp.Status >= 502 && !x.req.atMostOnce {
 		return scheduler.Completion{}, &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
 	}
 	c := scheduler.Completion{OutputTokens: 1, TimeToFirstToken: time.Since(started)}
-	if err := x.pass(s, resp); err != nil {
+	if err := x.forwardAnswer(s, resp); err != nil {
 		return c, err
 	}
-	x.req.token()
+	x.req.recordToken()
 	return c, nil
 }
 
 func (x *plainExchange) path() string {
 	p := x.r.URL.EscapedPath()
-	// The router matched /services/NAME, so there are three slashes.
+	// The router matched /services/NAME/PATH, which has three slashes.
 	parts := strings.SplitN(p, "/", 4)
 	path := "/" + parts[len(parts)-1]
 	if x.r.URL.RawQuery != "" {
@@ -90,24 +90,25 @@
 	return path
 }
 
-// pass hands the answer on: in one piece if it is short, else as it comes.
-func (x *plainExchange) pass(s config.Server, resp *backend.Response) error {
-	head, err := io.ReadAll(io.LimitReader(resp.Body, bufferMost))
+// forwardAnswer buffers up to maxBufferedBytes of the answer, then forwards it and
+// the rest as it arrives.
+func (x *plainExchange) forwardAnswer(s config.Server, resp *backend.Response) error {
+	head, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
 		return &backend.InterruptedError{Server: s.Name, Cause: err}
 	}
 	outcome := api.OutcomeDone
-	if resp.Status >= 500 && x.req.once {
-		// The service's own answer, but it proves nothing.
+	if resp.Status >= 500 && x.req.atMostOnce {
+		// An error status does not prove that the request did not run.
 		outcome = api.OutcomeUnknown
-		x.req.maybeRan = true
+		x.req.mayHaveRun = true
 	}
 	h := x.w.Header()
-	for k, v := range forwarded(resp.Header) {
+	for k, v := range forwardedHeader(resp.Header) {
 		h[k] = v
 	}
 	h.Set(api.HeaderOutcome, string(outcome))
-	x.req.begun = true
+	x.req.responseStarted = true
 	x.req.status = resp.Status
 	x.w.WriteHeader(resp.Status)
 	caller := &callerWriter{h: x.h, w: x.w}
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// callerWriter tells errors of the caller's side from those of the server's.
+// callerWriter records errors in writing to the caller, to tell them from read errors.
 type callerWriter struct {
 	h   *Handler
 	w   http.ResponseWriter
@@ -129,21 +130,21 @@
 }
 
 func (c *callerWriter) Write(p []byte) (int, error) {
-	c.h.extend(c.w)
+	c.h.extendWriteDeadline(c.w)
 	n, err := c.w.Write(p)
 	if err != nil {
-		c.err = &callerError{Cause: err}
+		c.err = &callerWriteError{Cause: err}
 	}
 	return n, err
 }
 
-const ownHeaders = "Headhill-"
+const internalHeaderPrefix = "Headhill-"
 
-// forwarded copies the headers that go through: not headhill's own, which neither
-// side may forge, nor the caller's key, which is for headhill only.
-func forwarded(h http.Header) http.Header {
+// forwardedHeader returns the end-to-end headers without headhill's own, which
+// neither side may forge, and without the caller's API key.
+func forwardedHeader(h http.Header) http.Header {
 	out := upstream.EndToEndHeader(h)
 	out.Del("Authorization")
-	maps.DeleteFunc(out, func(name string, _ []string) bool { return strings.HasPrefix(name, ownHeaders) })
+	maps.DeleteFunc(out, func(name string, _ []string) bool { return strings.HasPrefix(name, internalHeaderPrefix) })
 	return out
 }
--- a/pkg/entry/retry.go
+++ b/pkg/entry/retry.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// budgetShare is the number of retries that each success pays for.
-	budgetShare = 0.1
-	// budgetMost is the most that can be saved up, and what a box starts with.
-	budgetMost = 20
-	// attemptsMost bounds the servers that one request is sent to.
-	attemptsMost = 4
-	pauseFirst   = 20 * time.Millisecond
-	pauseMost    = time.Second
+	// retriesPerSuccess is the budget that each successful request adds.
+	retriesPerSuccess = 0.1
+	// maxRetryBudget is the maximum budget, which is also the initial one.
+	maxRetryBudget = 20
+	// maxAttempts bounds the exchanges of one request.
+	maxAttempts    = 4
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// retryBudget bounds retries to a share of successes, so that retries can't
-// multiply the load when everything fails.
+// retryBudget limits retries to a fraction of the successful requests, so that
+// retries don't multiply the load during an outage.
 type retryBudget struct {
-	mu   sync.Mutex
-	left float64
+	mu        sync.Mutex
+	available float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{left: budgetMost} }
+func newRetryBudget() *retryBudget { return &retryBudget{available: maxRetryBudget} }
 
-func (b *retryBudget) succeed() {
+func (b *retryBudget) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(budgetMost, b.left+budgetShare)
+	b.available = min(maxRetryBudget, b.available+retriesPerSuccess)
 }
 
-// spend takes one retry; false means that there is none left.
-func (b *retryBudget) spend() bool {
+// tryTake takes one retry from the budget and reports whether there was one.
+func (b *retryBudget) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.left--
+	b.available--
 	return true
 }
 
-// pause waits before retry n, counted from 0, with full jitter.
-func pause(ctx context.Context, n int) error {
-	d := min(pauseFirst<<n, pauseMost)
+// backoff waits before a retry, counted from 0, using exponential backoff with full
+// jitter.
+func backoff(ctx context.Context, attempt int) error {
+	d := min(initialBackoff<<attempt, maxBackoff)
 	t := time.NewTimer(rand.N(d) + 1)
 	defer t.Stop()
 	select {
--- a/pkg/entry/run.go
+++ b/pkg/entry/run.go
@@ -13,39 +13,39 @@
 	"headhill.example/headhill/pkg/shard"
 )
 
-// exchange sends a request to one server and passes the answer on. The error is
-// *backend.NotStartedError if it did not run there; any other means that it may
-// have.
+// exchange sends a request to a server and forwards the answer. The error is a
+// *backend.NotStartedError if the request did not run there; after any other error
+// it may have run.
 type exchange func(ctx context.Context, s config.Server) (scheduler.Completion, error)
 
-// run dispatches a request until an exchange succeeds or nothing more may be
-// tried. A request is in one exchange at a time.
-func (h *Handler) run(ctx context.Context, req *request, q shard.SlotRequest, do exchange) error {
+// dispatch sends a request to servers, one at a time, until an exchange succeeds or
+// no retry is allowed.
+func (h *Handler) dispatch(ctx context.Context, req *request, slotReq shard.SlotRequest, do exchange) error {
 	shards := shard.Eligible(h.Store.Current(), h.Tracker.View(), req.service.Name, h.Hall)
-	for n := 0; ; n++ {
-		err := h.runOnce(ctx, req, shards, q, do)
+	for attempt := 0; ; attempt++ {
+		err := h.dispatchOnce(ctx, req, shards, slotReq, do)
 		if err == nil {
-			h.budget.succeed()
+			h.budget.recordSuccess()
 			return nil
 		}
-		if !h.mayRetry(ctx, req, err, n) {
-			return req.final(err)
+		if !h.shouldRetry(ctx, req, err, attempt) {
+			return req.finalError(err)
 		}
-		q.AvoidServers = req.servers
-		if err := pause(ctx, n); err != nil {
-			return req.final(err)
+		slotReq.AvoidServers = req.servers
+		if err := backoff(ctx, attempt); err != nil {
+			return req.finalError(err)
 		}
 	}
 }
 
-// runOnce waits for a slot and makes one exchange in it.
-func (h *Handler) runOnce(ctx context.Context, req *request, shards []config.Shard, q shard.SlotRequest, do exchange) error {
-	slot, err := h.Broker.Acquire(ctx, shards, q)
+// dispatchOnce waits for a slot and uses it for one exchange.
+func (h *Handler) dispatchOnce(ctx context.Context, req *request, shards []config.Shard, slotReq shard.SlotRequest, do exchange) error {
+	slot, err := h.Broker.Acquire(ctx, shards, slotReq)
 	if err != nil {
 		return err
 	}
-	if req.granted.IsZero() {
-		req.granted = time.Now()
+	if req.grantedAt.IsZero() {
+		req.grantedAt = time.Now()
 	}
 	server, ok := h.Store.Current().Server(slot.Server)
 	if !ok {
@@ -59,74 +59,75 @@
 	}
 	req.servers = append(req.servers, server.Name)
 	c, err := do(ctx, server)
-	c.Result = result(ctx, err)
+	c.Result = schedulerResult(ctx, err)
 	slot.Finish(c)
 	if err != nil && !backend.IsNotStarted(err) {
-		req.maybeRan = true
+		req.mayHaveRun = true
 	}
 	return err
 }
 
-func result(ctx context.Context, err error) scheduler.Result {
+func schedulerResult(ctx context.Context, err error) scheduler.Result {
 	switch {
 	case err == nil:
 		return scheduler.ResultDone
-	case ctx.Err() != nil, isCaller(err):
+	case ctx.Err() != nil, isCallerWriteError(err):
 		return scheduler.ResultAbandoned
 	}
 	return scheduler.ResultFailed
 }
 
-// mayRetry tells whether a failed request is sent once more. What may have run
-// is repeated only if it is repeatable, and only if the caller can still get one
-// whole answer.
-func (h *Handler) mayRetry(ctx context.Context, req *request, err error, n int) bool {
-	var broken *backend.InterruptedError
+// shouldRetry reports whether to send a failed request again. A request that may
+// have run is retried only if it is repeatable and the caller can still get a
+// complete answer.
+func (h *Handler) shouldRetry(ctx context.Context, req *request, err error, attempt int) bool {
+	var interrupted *backend.InterruptedError
 	switch {
-	case ctx.Err() != nil, n+1 >= attemptsMost:
+	case ctx.Err() != nil, attempt+1 >= maxAttempts:
 		return false
 	case backend.IsNotStarted(err):
-		return h.budget.spend()
-	case errors.As(err, &broken):
-		return !req.once && !req.stuck() && h.budget.spend()
+		return h.budget.tryTake()
+	case errors.As(err, &interrupted):
+		return !req.atMostOnce && !req.cannotContinue() && h.budget.tryTake()
 	}
 	return false
 }
 
-// stuck answers have begun and can't go on at another server.
-func (q *request) stuck() bool {
-	return q.begun && (q.opaque || q.service.Kind != config.KindEngine)
+// cannotContinue reports whether an answer was started that no other server can continue.
+func (req *request) cannotContinue() bool {
+	return req.responseStarted && (req.nonResumable || req.service.Kind != config.KindEngine)
 }
 
-// final is what became of the request: once anything may have run, "not run"
-// can't be said any more.
-func (q *request) final(err error) error {
-	if q.maybeRan || q.begun {
-		return &UnknownError{Cause: err}
+// finalError returns the error for the caller. Once the request may have run, it is
+// an UnknownOutcomeError.
+func (req *request) finalError(err error) error {
+	if req.mayHaveRun || req.responseStarted {
+		return &UnknownOutcomeError{Cause: err}
 	}
 	return err
 }
 
-// claim records the claim of a keyed request that may not be repeated, once.
+// claim claims the key of a keyed at-most-once request before its first exchange.
 func (h *Handler) claim(ctx context.Context, req *request) error {
-	if !req.once || req.key == "" || req.claimed {
+	if !req.atMostOnce || req.key == "" || req.claimed {
 		return nil
 	}
 	k := claims.KeyOf(req.org.Name, req.key)
-	r, err := h.Claims.Claim(ctx, k, req.attempt)
+	r, err := h.Claims.Claim(ctx, k, req.attemptID)
 	if err != nil {
-		h.Claims.Abandon(k, req.attempt)
+		h.Claims.Abandon(k, req.attemptID)
 		return err
 	}
 	if r.State != claims.Granted {
-		return &TakenError{Done: r.State == claims.Done}
+		return &KeyTakenError{Done: r.State == claims.Done}
 	}
 	req.claimed = true
 	req.fence = fmt.Sprintf("%d/%d", k.Shard(), r.Fence)
 	return nil
 }
 
-// endClaim records how a claimed request ended. An unknown end stays unknown.
+// endClaim records that a claimed request is done, or abandons the claim if it did
+// not run. With an unknown outcome the claim stays open.
 func (h *Handler) endClaim(ctx context.Context, req *request, err error) {
 	if !req.claimed {
 		return
@@ -134,17 +135,17 @@
 	k := claims.KeyOf(req.org.Name, req.key)
 	switch {
 	case err == nil:
-		// The answer need not wait for this: without the record the key stays
-		// taken, which is as safe.
-		go func() { _ = h.Claims.End(context.WithoutCancel(ctx), k, req.attempt, false) }()
-	case !req.maybeRan:
-		h.Claims.Abandon(k, req.attempt)
+		// Don't delay the answer: without this record the key stays taken, which is
+		// safe.
+		go func() { _ = h.Claims.End(context.WithoutCancel(ctx), k, req.attemptID, false) }()
+	case !req.mayHaveRun:
+		h.Claims.Abandon(k, req.attemptID)
 	}
 }
 
-// query is the reservation of a request.
-func (h *Handler) query(req *request, promptTokens int, prefix []uint64) shard.SlotRequest {
-	q := shard.SlotRequest{
+// slotRequest returns the slot request of a caller's request.
+func (h *Handler) slotRequest(req *request, promptTokens int, prefix []uint64) shard.SlotRequest {
+	slotReq := shard.SlotRequest{
 		Class:        req.class.Name,
 		Organisation: req.org.Name,
 		PromptTokens: promptTokens,
@@ -152,7 +153,7 @@
 		PrefixHashes: prefix,
 	}
 	if req.class.Deadline > 0 {
-		q.Deadline = req.arrival.Add(req.class.Deadline)
+		slotReq.Deadline = req.arrival.Add(req.class.Deadline)
 	}
-	return q
+	return slotReq
 }
--- a/pkg/entry/stream.go
+++ b/pkg/entry/stream.go
@@ -17,55 +17,55 @@
 )
 
 const (
-	// answerMost bounds an answer that is not streamed, in bytes.
-	answerMost = 32 << 20
-	// callerTimeout bounds how long a caller may take to read a piece.
-	callerTimeout = 30 * time.Second
-	streamEnd     = "[DONE]"
+	// maxAnswerBytes bounds an answer that is not streamed.
+	maxAnswerBytes = 32 << 20
+	// callerWriteTimeout is the default of Handler.writeTimeout.
+	callerWriteTimeout = 30 * time.Second
+	streamEndMarker    = "[DONE]"
 )
 
-// chat serves POST /v1/chat/completions.
-func (h *Handler) chat(w http.ResponseWriter, r *http.Request, req *request) error {
-	body, err := parseChat(req.body)
+// serveChat serves POST /v1/chat/completions.
+func (h *Handler) serveChat(w http.ResponseWriter, r *http.Request, req *request) error {
+	chat, err := parseChatRequest(req.body)
 	if err != nil {
 		return err
 	}
-	service, ok := h.Store.Current().ServiceByModel(body.model)
+	service, ok := h.Store.Current().ServiceByModel(chat.model)
 	if !ok {
-		return &RequestError{Status: http.StatusNotFound, Type: typeNoRoute, Message: fmt.Sprintf("model %q is not served here: check the field %q", body.model, fieldModel)}
+		return &RequestError{Status: http.StatusNotFound, Type: typeNoRoute, Message: fmt.Sprintf("model %q is not served here: check the field %q", chat.model, fieldModel)}
 	}
 	req.service = service
 	if err := h.classify(r, req); err != nil {
 		return err
 	}
-	x := &chatExchange{h: h, w: w, req: req, body: body}
-	x.answer.id = answerPrefix + req.id
-	q := h.query(req, body.promptTokens(), body.prefixes())
-	err = h.run(r.Context(), req, q, x.do)
+	x := &chatExchange{h: h, w: w, req: req, chat: chat}
+	x.answer.id = answerIDPrefix + req.id
+	slotReq := h.slotRequest(req, chat.estimatePromptTokens(), chat.prefixHashes())
+	err = h.dispatch(r.Context(), req, slotReq, x.do)
 	h.endClaim(r.Context(), req, err)
 	return err
 }
 
-// chatExchange passes a chat completion from one engine, or from several that go
-// on where the one before broke off, to its caller.
+// chatExchange forwards a chat completion to the caller. If an engine fails, another
+// one continues the answer.
 type chatExchange struct {
 	h      *Handler
 	w      http.ResponseWriter
 	req    *request
-	body   *chatBody
+	chat   *chatRequest
 	answer answer
-	// chunk is decoded into again and again: an answer has hundreds.
+	// chunk is reused for every event of the answer to save allocations.
 	chunk chunk
 }
 
 func (x *chatExchange) do(ctx context.Context, s config.Server) (scheduler.Completion, error) {
-	body, err := x.nextBody()
+	body, err := x.requestBody()
 	if err != nil {
 		return scheduler.Completion{}, err
 	}
-	if x.answer.started {
-		// The new engine has to read prompt and partial answer again.
-		x.req.wasted += x.body.promptTokens()
+	if x.answer.responseStarted {
+		// The new engine processes the prompt and the partial answer again.
+		x.req.wastedTokens += x.chat.estimatePromptTokens()
 	}
 	started := time.Now()
 	resp, err := x.h.Backend.Do(ctx, backend.Call{
@@ -76,112 +76,112 @@
 		Header:     http.Header{"Content-Type": {"application/json"}},
 		Body:       body,
 		RequestID:  x.req.id,
-		AtMostOnce: x.req.once,
+		AtMostOnce: x.req.atMostOnce,
 		Fence:      x.req.fence,
 	})
 	if err != nil {
 		return scheduler.Completion{}, err
 	}
 	defer resp.Body.Close()
-	before := x.answer.tokens
+	before := x.answer.tokenCount
 	switch {
 	case resp.Status >= 500:
 		err = &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d", resp.Status)}
-	case resp.Status != http.StatusOK && !x.answer.started:
-		err = x.whole(s, resp)
+	case resp.Status != http.StatusOK && !x.answer.responseStarted:
+		err = x.forwardComplete(s, resp)
 	case resp.Status != http.StatusOK:
 		err = &backend.InterruptedError{Server: s.Name, Cause: fmt.Errorf("status %d in the middle of an answer", resp.Status)}
-	case x.body.stream:
-		err = x.stream(s, resp)
+	case x.chat.stream:
+		err = x.forwardStream(s, resp)
 	default:
-		err = x.whole(s, resp)
+		err = x.forwardComplete(s, resp)
 	}
-	return x.completion(started, x.answer.tokens-before), err
+	return x.completion(started, x.answer.tokenCount-before), err
 }
 
-func (x *chatExchange) nextBody() ([]byte, error) {
-	if !x.answer.started {
+func (x *chatExchange) requestBody() ([]byte, error) {
+	if !x.answer.responseStarted {
 		return x.req.body, nil
 	}
-	return x.body.continued(x.answer.text.String(), x.answer.tokens)
+	return x.chat.continuationBody(x.answer.text.String(), x.answer.tokenCount)
 }
 
 func (x *chatExchange) completion(started time.Time, tokens int) scheduler.Completion {
-	c := scheduler.Completion{PromptTokens: x.body.promptTokens(), OutputTokens: tokens}
+	c := scheduler.Completion{PromptTokens: x.chat.estimatePromptTokens(), OutputTokens: tokens}
 	if tokens == 0 {
 		return c
 	}
-	c.TimeToFirstToken = x.req.firstToken.Sub(started)
-	c.InterTokenLatency = x.req.between()
+	c.TimeToFirstToken = x.req.firstTokenAt.Sub(started)
+	c.InterTokenLatency = x.req.interTokenLatency()
 	return c
 }
 
-// between is the mean time between the tokens delivered so far.
-func (q *request) between() time.Duration {
-	if q.tokens < 2 {
+// interTokenLatency returns the mean time between the tokens delivered so far.
+func (req *request) interTokenLatency() time.Duration {
+	if req.tokenCount < 2 {
 		return 0
 	}
-	return q.lastToken.Sub(q.firstToken) / time.Duration(q.tokens-1)
+	return req.lastTokenAt.Sub(req.firstTokenAt) / time.Duration(req.tokenCount-1)
 }
 
-// stream passes events on until the answer is whole.
-func (x *chatExchange) stream(s config.Server, resp *backend.Response) error {
-	broken := func(err error) error { return &backend.InterruptedError{Server: s.Name, Cause: err} }
+// forwardStream forwards events until the answer is complete.
+func (x *chatExchange) forwardStream(s config.Server, resp *backend.Response) error {
+	interrupted := func(err error) error { return &backend.InterruptedError{Server: s.Name, Cause: err} }
 	events := sse.NewReader(resp.Body)
 	for {
 		data, err := events.Next()
-		if err != nil && x.answer.finished {
-			// Only the closing mark is missing.
-			return x.finish()
+		if err != nil && x.answer.complete {
+			// Only the end marker is missing.
+			return x.finishStream()
 		}
-		if err != nil && x.full() {
-			return x.finishFull()
+		if err != nil && x.reachedMaxTokens() {
+			return x.finishAtMaxTokens()
 		}
 		if err != nil {
-			return broken(x.explain(err))
+			return interrupted(x.unexpectedEOF(err))
 		}
-		if string(data) == streamEnd {
-			if !x.answer.finished {
-				return broken(errors.New("the stream ended before the answer did"))
+		if string(data) == streamEndMarker {
+			if !x.answer.complete {
+				return interrupted(errors.New("the stream ended before the answer did"))
 			}
-			return x.finish()
+			return x.finishStream()
 		}
-		err = x.event(data, events.HasBuffered())
-		if isCaller(err) {
+		err = x.forwardEvent(data, events.HasBuffered())
+		if isCallerWriteError(err) {
 			return err
 		}
 		if err != nil {
-			return broken(err)
+			return interrupted(err)
 		}
 	}
 }
 
-// full tells whether the caller has as many tokens as it asked for. An event
-// carries one token or more, so counting events never counts too many.
-func (x *chatExchange) full() bool {
-	return x.body.maxTokens > 0 && !x.answer.opaque && x.answer.tokens >= x.body.maxTokens
+// reachedMaxTokens reports whether the caller has received max_tokens tokens. Each
+// event counts as one token but may carry more, so the count is a lower bound.
+func (x *chatExchange) reachedMaxTokens() bool {
+	return x.chat.maxTokens > 0 && !x.answer.nonResumable && x.answer.tokenCount >= x.chat.maxTokens
 }
 
-// finishFull ends an answer that is whole but for the engine saying so. Another
-// engine would add a token to it.
-func (x *chatExchange) finishFull() error {
+// finishAtMaxTokens sends the final event of an answer that reached max_tokens before
+// its engine failed. Continuing it at another engine would add a token.
+func (x *chatExchange) finishAtMaxTokens() error {
 	last := fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","choices":[{"index":0,"delta":{},"finish_reason":"length"}]}`, x.answer.id)
-	if err := x.send([]byte(last), false); err != nil {
+	if err := x.sendEvent([]byte(last), false); err != nil {
 		return err
 	}
-	return x.finish()
+	return x.finishStream()
 }
 
-func (x *chatExchange) explain(err error) error {
+func (x *chatExchange) unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// event checks one event and passes it on. More tells that another one is there
-// already, so that flushing can wait for it.
-func (x *chatExchange) event(data []byte, more bool) error {
+// forwardEvent validates an event and forwards it. With more set, another event is
+// already buffered, so that flushing can wait.
+func (x *chatExchange) forwardEvent(data []byte, more bool) error {
 	c := &x.chunk
 	c.reset()
 	if err := json.Unmarshal(data, c); err != nil {
@@ -193,31 +193,31 @@
 	if c.ID != x.answer.id {
 		return &backend.MismatchError{Want: x.answer.id, Got: c.ID}
 	}
-	before := x.answer.tokens
-	if !x.answer.take(c) {
+	before := x.answer.tokenCount
+	if !x.answer.addChunk(c) {
 		return nil
 	}
-	x.req.opaque = x.answer.opaque
-	if x.answer.tokens > before {
-		x.req.token()
+	x.req.nonResumable = x.answer.nonResumable
+	if x.answer.tokenCount > before {
+		x.req.recordToken()
 	}
-	return x.send(data, !more || x.answer.finished)
+	return x.sendEvent(data, !more || x.answer.complete)
 }
 
-func (q *request) token() {
-	q.lastToken = time.Now()
-	if q.tokens == 0 {
-		q.firstToken = q.lastToken
+func (req *request) recordToken() {
+	req.lastTokenAt = time.Now()
+	if req.tokenCount == 0 {
+		req.firstTokenAt = req.lastTokenAt
 	}
-	q.tokens++
+	req.tokenCount++
 }
 
-// send writes one event to the caller.
-func (x *chatExchange) send(data []byte, flush bool) error {
+// sendEvent writes an event to the caller, after the headers if it is the first.
+func (x *chatExchange) sendEvent(data []byte, flush bool) error {
 	c := http.NewResponseController(x.w)
-	if !x.answer.started {
-		x.answer.started = true
-		x.req.begun = true
+	if !x.answer.responseStarted {
+		x.answer.responseStarted = true
+		x.req.responseStarted = true
 		x.req.status = http.StatusOK
 		header := x.w.Header()
 		header.Set("Content-Type", "text/event-stream")
@@ -225,47 +225,47 @@
 		header.Set("Trailer", api.HeaderOutcome)
 		x.w.WriteHeader(http.StatusOK)
 	}
-	x.h.extend(x.w)
+	x.h.extendWriteDeadline(x.w)
 	err := sse.Write(x.w, data)
 	if err == nil && flush {
 		err = c.Flush()
 	}
 	if err != nil {
-		return &callerError{Cause: err}
+		return &callerWriteError{Cause: err}
 	}
 	return nil
 }
 
-// extend gives the caller its time to read the next piece.
-func (h *Handler) extend(w http.ResponseWriter) {
-	// A writer without deadlines, as in tests, has no slow caller either.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.patience))
+// extendWriteDeadline sets the deadline for the next write to the caller.
+func (h *Handler) extendWriteDeadline(w http.ResponseWriter) {
+	// Writers without deadline support occur only in tests.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.writeTimeout))
 }
 
-// finish closes a whole answer.
-func (x *chatExchange) finish() error {
-	if err := x.send([]byte(streamEnd), true); err != nil {
+// finishStream ends a complete streamed answer.
+func (x *chatExchange) finishStream() error {
+	if err := x.sendEvent([]byte(streamEndMarker), true); err != nil {
 		return err
 	}
 	x.w.Header().Set(api.HeaderOutcome, string(api.OutcomeDone))
 	return nil
 }
 
-// wholeAnswer is the part of an answer in one piece that headhill reads.
-type wholeAnswer struct {
+// completeAnswer holds the fields of a non-streamed answer that headhill interprets.
+type completeAnswer struct {
 	ID    string `json:"id"`
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-// whole passes an answer in one piece on, once all of it is there.
-func (x *chatExchange) whole(s config.Server, resp *backend.Response) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, answerMost+1))
-	if err == nil && len(data) > answerMost {
-		err = fmt.Errorf("answer longer than %d bytes", answerMost)
+// forwardComplete forwards a non-streamed answer after reading all of it.
+func (x *chatExchange) forwardComplete(s config.Server, resp *backend.Response) error {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	if err == nil && len(data) > maxAnswerBytes {
+		err = fmt.Errorf("answer longer than %d bytes", maxAnswerBytes)
 	}
-	var a wholeAnswer
+	var a completeAnswer
 	if err == nil && resp.Status == http.StatusOK {
 		err = json.Unmarshal(data, &a)
 	}
@@ -275,25 +275,25 @@
 	if err != nil {
 		return &backend.InterruptedError{Server: s.Name, Cause: err}
 	}
-	x.req.token()
-	x.req.tokens = max(1, a.Usage.CompletionTokens)
-	x.req.begun = true
+	x.req.recordToken()
+	x.req.tokenCount = max(1, a.Usage.CompletionTokens)
+	x.req.responseStarted = true
 	x.req.status = resp.Status
 	h := x.w.Header()
 	h.Set("Content-Type", resp.Header.Get("Content-Type"))
 	h.Set(api.HeaderOutcome, string(api.OutcomeDone))
-	x.h.extend(x.w)
+	x.h.extendWriteDeadline(x.w)
 	x.w.WriteHeader(resp.Status)
 	if _, err := x.w.Write(data); err != nil {
-		return &callerError{Cause: err}
+		return &callerWriteError{Cause: err}
 	}
 	return nil
 }
 
-// breakStream ends a stream that can't be made whole: with an error event, never
-// with a clean end.
-func breakStream(w http.ResponseWriter, v verdict, id string) {
-	_ = sse.Write(w, v.body(id))
-	w.Header().Set(api.HeaderOutcome, string(v.outcome))
+// sendErrorEvent ends an incomplete stream with an error event instead of the end
+// marker.
+func sendErrorEvent(w http.ResponseWriter, resp errorResponse, id string) {
+	_ = sse.Write(w, resp.body(id))
+	w.Header().Set(api.HeaderOutcome, string(resp.outcome))
 	_ = http.NewResponseController(w).Flush()
 }
