--- a/pkg/backend/client.go
+++ b/pkg/backend/client.go
@@ -13,49 +13,49 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// HeaderRequestID names the request towards the server, which names its answer
-// by it.
+// HeaderRequestID carries the request ID, which the server includes in its answer.
 const HeaderRequestID = "X-Request-Id"
 
-// HeaderFence carries a claim's fence to servers that check who orders them.
+// HeaderFence carries the fencing token of a claim to servers that check it.
 const HeaderFence = "Headhill-Fence"
 
 const dialTimeout = time.Second
 
-// Call is one call to a backend server.
+// Call is a call to a backend server.
 type Call struct {
 	Server    config.Server
 	Engine    bool
 	Method    string
-	Path      string // with query
+	Path      string // including the query
 	Header    http.Header
 	Body      []byte
 	RequestID string
 	// AtMostOnce marks a call that must not be repeated.
 	AtMostOnce bool
-	// Fence is the claim's fence, "" if there is none.
+	// Fence is the fencing token of the claim, "" if there is none.
 	Fence string
 }
 
-// Response is an answer whose header has arrived. Body must be closed.
+// Response is an answer whose headers have been received. Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// Client makes calls.
+// Client calls backend servers.
 type Client struct {
 	upstream *upstream.Client
 	stop     context.CancelFunc
-	// silence bounds how long a server may send nothing.
-	silence time.Duration
+	// answerTimeout is how long a server may send nothing before a call is cancelled.
+	answerTimeout time.Duration
 }
 
-// NewClient returns a client that gives a server up after this much silence.
-func NewClient(silence time.Duration) *Client {
+// NewClient returns a client that cancels a call when its server sends nothing for
+// answerTimeout.
+func NewClient(answerTimeout time.Duration) *Client {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Client{upstream: upstream.NewClient(dialTimeout), stop: stop, silence: silence}
+	c := &Client{upstream: upstream.NewClient(dialTimeout), stop: stop, answerTimeout: answerTimeout}
 	go c.upstream.Run(ctx)
 	return c
 }
@@ -63,12 +63,13 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.stop() }
 
-// Do makes a call and returns when the answer's header is there. The error is
-// *NotStartedError or *InterruptedError. Cancelling ctx ends the call at the server.
+// Do makes a call and returns once the headers of the answer are received. The error
+// is a *NotStartedError or an *InterruptedError. Cancelling ctx closes the
+// connection, which cancels the call at the server.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := newWatchdog(c.silence, cancel)
-	resp, err := c.upstream.Do(ctx, outgoing(call))
+	w := newWatchdog(c.answerTimeout, cancel)
+	resp, err := c.upstream.Do(ctx, upstreamRequest(call))
 	if err != nil {
 		w.stop()
 		cancel(nil)
@@ -78,16 +79,16 @@
 		return nil, &InterruptedError{Server: call.Server.Name, Cause: err}
 	}
 	body := &watchedBody{response: resp, watchdog: w, ctx: ctx, cancel: cancel}
-	if err := refusal(call, resp); err != nil {
+	if err := checkStarted(call, resp); err != nil {
 		body.Close()
 		return nil, err
 	}
 	return &Response{Status: resp.Status, Header: resp.Header, Body: body}, nil
 }
 
-// outgoing is the request as it goes out. One that must not be repeated takes a new
-// connection: on a kept one that turns out dead it would be lost.
-func outgoing(call Call) upstream.Request {
+// upstreamRequest builds the request for a call. An at-most-once call uses a new
+// connection, because a reused one may already be closed by the server.
+func upstreamRequest(call Call) upstream.Request {
 	h := call.Header.Clone()
 	if h == nil {
 		h = make(http.Header)
@@ -102,10 +103,10 @@
 	}
 }
 
-// refusal tells whether the server said that it did not start the call. 429
-// says so by its meaning, 412 is a fence's refusal; an engine's 503 comes before
-// any generation. A plain service's 503 proves nothing.
-func refusal(call Call, resp *upstream.Response) error {
+// checkStarted returns a *NotStartedError if the status shows that the server did not
+// start the call: 429, 412 for a rejected fencing token, or 503 from an engine, which
+// precedes any generation. A 503 from a plain service proves nothing.
+func checkStarted(call Call, resp *upstream.Response) error {
 	started := true
 	switch resp.Status {
 	case http.StatusTooManyRequests:
@@ -133,37 +134,37 @@
 	return time.Duration(n) * time.Second
 }
 
-// watchdog cancels a call whose server stays silent.
+// watchdog cancels a call whose server sends nothing for timeout.
 type watchdog struct {
-	timer *time.Timer
-	after time.Duration
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-func newWatchdog(after time.Duration, cancel context.CancelCauseFunc) *watchdog {
-	t := time.AfterFunc(after, func() { cancel(&AnswerTimeoutError{After: after}) })
-	return &watchdog{timer: t, after: after}
+func newWatchdog(timeout time.Duration, cancel context.CancelCauseFunc) *watchdog {
+	t := time.AfterFunc(timeout, func() { cancel(&AnswerTimeoutError{Timeout: timeout}) })
+	return &watchdog{timer: t, timeout: timeout}
 }
 
-func (w *watchdog) heard() { w.timer.Reset(w.after) }
+func (w *watchdog) reset() { w.timer.Reset(w.timeout) }
 func (w *watchdog) stop()  { w.timer.Stop() }
 
-// watchedBody resets the watchdog at each read and ends the call at close.
+// watchedBody resets the watchdog on each read and ends the call on Close.
 type watchedBody struct {
 	response *upstream.Response
 	watchdog *watchdog
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	// whole is set once the end was read.
-	whole bool
+	// complete is set once the body was read to its end.
+	complete bool
 }
 
 func (b *watchedBody) Read(p []byte) (int, error) {
 	n, err := b.response.Body.Read(p)
 	if n > 0 {
-		b.watchdog.heard()
+		b.watchdog.reset()
 	}
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	} else if err != nil {
 		err = errors.Join(context.Cause(b.ctx), err)
 	}
@@ -172,7 +173,7 @@
 
 func (b *watchedBody) Close() error {
 	b.watchdog.stop()
-	b.response.Close(b.whole)
+	b.response.Close(b.complete)
 	b.cancel(nil)
 	return nil
 }
--- a/pkg/backend/client_test.go
+++ b/pkg/backend/client_test.go
@@ -14,9 +14,9 @@
 	"headhill.example/headhill/pkg/config"
 )
 
-// fickle answers the first request of each connection and keeps the connection;
-// the second it reads whole, and closes without an answer.
-func fickle(t *testing.T) (address string, runs *atomic.Int64) {
+// newClosingServer starts a server that answers the first request on a connection and
+// closes the connection after reading the second. runs counts the requests read.
+func newClosingServer(t *testing.T) (address string, runs *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -49,12 +49,11 @@
 	return ln.Addr().String(), runs
 }
 
-// net/http repeats a request by itself when a kept connection turns out dead. A
-// call that may not be repeated must not be left to that, with a body or without,
-// and although its key makes it look harmless.
+// An HTTP transport may retry a request when a reused connection turns out to be
+// closed. An at-most-once call must not be retried, even with an Idempotency-Key.
 func TestTransportRepeatsNothing(t *testing.T) {
 	for _, body := range []string{"", "body"} {
-		address, runs := fickle(t)
+		address, runs := newClosingServer(t)
 		c := NewClient(5 * time.Second)
 		defer c.Close()
 		for n := range 5 {
@@ -70,15 +69,15 @@
 	}
 }
 
-func TestSilenceIsBounded(t *testing.T) {
+func TestAnswerTimeout(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	c := NewClient(100 * time.Millisecond)
 	defer c.Close()
 	_, err = c.Do(t.Context(), Call{Server: config.Server{Name: "s", Address: ln.Addr().String()}, Method: http.MethodGet, Path: "/"})
-	var broken *InterruptedError
-	var silent *AnswerTimeoutError
-	require.ErrorAs(t, err, &broken)
-	require.ErrorAs(t, err, &silent)
+	var interrupted *InterruptedError
+	var timedOut *AnswerTimeoutError
+	require.ErrorAs(t, err, &interrupted)
+	require.ErrorAs(t, err, &timedOut)
 }
--- a/pkg/backend/doc.go
+++ b/pkg/backend/doc.go
@@ -1,3 +1,3 @@
-// Package backend makes calls to backend servers, and tells for every call that
-// failed whether it may have run.
+// Package backend calls backend servers and reports for each failed call whether it
+// may have run.
 package backend
--- a/pkg/backend/errors.go
+++ b/pkg/backend/errors.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// NotStartedError says that a call was proved not to have run: nothing of it was
-// written to the server, or the server itself said that it did not start it.
+// NotStartedError reports that a call did not run: nothing was written to the server,
+// or the server answered that it did not start the call.
 type NotStartedError struct {
 	Server string
 	Cause  error
-	// RetryAfter is what the server said, if it did.
+	// RetryAfter is the delay that the server requested, 0 if none.
 	RetryAfter time.Duration
 }
 
@@ -21,8 +21,8 @@
 
 func (e *NotStartedError) Unwrap() error { return e.Cause }
 
-// InterruptedError says that the exchange broke after something was written: the call
-// may have run.
+// InterruptedError reports that an exchange failed after something was written: the
+// call may have run.
 type InterruptedError struct {
 	Server string
 	Cause  error
@@ -34,21 +34,21 @@
 
 func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// AnswerTimeoutError says that a server sent nothing for too long.
-type AnswerTimeoutError struct{ After time.Duration }
+// AnswerTimeoutError reports that a server sent nothing for Timeout.
+type AnswerTimeoutError struct{ Timeout time.Duration }
 
 func (e *AnswerTimeoutError) Error() string {
-	return fmt.Sprintf("no answer within %s: raise [limits] answer-timeout if that is normal", e.After)
+	return fmt.Sprintf("no answer within %s: raise [limits] answer-timeout if that is normal", e.Timeout)
 }
 
-// MismatchError says that an answer belongs to another request.
+// MismatchError reports that an answer belongs to another request.
 type MismatchError struct{ Want, Got string }
 
 func (e *MismatchError) Error() string {
 	return fmt.Sprintf("answer is for request %q, not %q: the server mixed its answers up; take it out", e.Got, e.Want)
 }
 
-// IsNotStarted tells whether a call was proved not to have run.
+// IsNotStarted reports whether err shows that a call did not run.
 func IsNotStarted(err error) bool {
 	var e *NotStartedError
 	return errors.As(err, &e)
--- a/pkg/backend/probe.go
+++ b/pkg/backend/probe.go
@@ -11,18 +11,18 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// LoadPath is where a backend server publishes its load as a Load.
+// LoadPath is the path at which a backend server reports its Load.
 const LoadPath = "/load"
 
-// Load is a server's account of its load. It lags.
+// Load is the load that a backend server reports. It may be out of date.
 type Load struct {
 	Running int  `json:"running"`
 	Leaving bool `json:"leaving"`
 }
 
-const loadMost = 64 << 10
+const maxLoadBytes = 64 << 10
 
-// Probe asks a server for its load. A server that answers without publishing any
+// Probe requests the load of a server. A server that answers without a load report
 // counts as up and idle.
 func (c *Client) Probe(ctx context.Context, s config.Server) (scheduler.LoadReport, error) {
 	resp, err := c.upstream.Do(ctx, upstream.Request{
@@ -31,14 +31,14 @@
 	if err != nil {
 		return scheduler.LoadReport{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, loadMost))
-	resp.Close(err == nil && len(body) < loadMost)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLoadBytes))
+	resp.Close(err == nil && len(body) < maxLoadBytes)
 	if err != nil {
 		return scheduler.LoadReport{}, err
 	}
 	var l Load
 	if resp.Status == http.StatusOK {
-		// A body of another form is no load.
+		// Ignore bodies that are not a load report.
 		_ = json.Unmarshal(body, &l)
 	}
 	return scheduler.LoadReport{Server: s.Name, Running: l.Running, Leaving: l.Leaving}, nil
