--- a/pkg/backend/client_test.go
+++ b/pkg/backend/client_test.go
@@ -51,7 +51,7 @@
 
 // An HTTP transport may retry a request when a reused connection turns out to be
 // closed. An at-most-once call must not be retried, even with an Idempotency-Key.
-func TestTransportRepeatsNothing(t *testing.T) {
+func TestTransportDoesNotRetry(t *testing.T) {
 	for _, body := range []string{"", "body"} {
 		address, runs := newClosingServer(t)
 		c := NewClient(5 * time.Second)
--- a/pkg/entry/exchange_test.go
+++ b/pkg/entry/exchange_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestCrashAtEveryByteOfAWholeAnswer(t *testing.T) {
+func TestCrashAtEveryByteOfNonStreamedAnswer(t *testing.T) {
 	withEngines(t, func(h *Handler, engines [2]*engine.Engine, servers [2]config.Server) {
 		for at := 1; at < 200; at += 3 {
 			engines[0].SetFaults(engine.Faults{CrashAfterBytes: at})
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
+func TestMismatchedAnswerIsNotForwarded(t *testing.T) {
 	withEngines(t, func(h *Handler, engines [2]*engine.Engine, servers [2]config.Server) {
 		engines[0].SetFaults(engine.Faults{WrongID: true})
 		for _, stream := range []bool{true, false} {
@@ -152,7 +152,7 @@
 	})
 }
 
-func TestCallerGoneCancelsAtTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsAtEngine(t *testing.T) {
 	withEngines(t, func(h *Handler, engines [2]*engine.Engine, servers [2]config.Server) {
 		engines[0].SetFaults(engine.Faults{Freeze: true})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -172,7 +172,7 @@
 
 // An answer that holds more than text can't be continued by another engine and must
 // not be retried.
-func TestOpaqueAnswerIsNotContinued(t *testing.T) {
+func TestNonResumableAnswerIsNotContinued(t *testing.T) {
 	var a answer
 	var c chunk
 	require.NoError(t, json.Unmarshal([]byte(`{"id":"x","choices":[{"index":0,"delta":{"tool_calls":[{}]}}]}`), &c))
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -250,7 +250,7 @@
 
 // While two boxes own the same shard, each entry box uses only the owner in its own
 // view. After the partition heals, no slot is counted twice or lost.
-func TestDoubledOwner(t *testing.T) {
+func TestConcurrentOwners(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
 		v := net.boxes["b0"].tracker.View()
 		owner := v.Owner("s", "")
@@ -285,7 +285,7 @@
 }
 
 // An isolated box grants only its share of the server slots.
-func TestCutOffBoxTakesItsShare(t *testing.T) {
+func TestIsolatedBoxGrantsOnlyItsShare(t *testing.T) {
 	withNetwork(t, 4, func(_ context.Context, net *network) {
 		net.setIsolated("b2", true)
 		time.Sleep(3 * time.Second)
@@ -296,7 +296,7 @@
 }
 
 // Grants that are stale or come from a box other than the current owner are not used.
-func TestStrangeGrantsAreNotHeeded(t *testing.T) {
+func TestInvalidGrantsAreIgnored(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
 		var slots []*Slot
 		for range 2 * testSlots {
@@ -337,7 +337,7 @@
 
 // The queue limit and load shedding apply across entry boxes: high-tier requests of
 // one box evict waiting low-tier requests of another.
-func TestHighPushesOutLowOfAnotherBox(t *testing.T) {
+func TestHighTierEvictsLowTierOfAnotherBox(t *testing.T) {
 	withNetwork(t, 3, func(ctx context.Context, net *network) {
 		for range 2 * testSlots {
 			s, err := net.acquire(ctx, "b0", "high")
@@ -386,7 +386,7 @@
 
 // A request is refused only after every shard was tried: a waiting lower-tier
 // request in any of them is evicted first.
-func TestLowInAnotherShardGivesWay(t *testing.T) {
+func TestLowTierInAnotherShardIsEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		net := newNetworkWith(ctx, t, 1, threeHallChange("h2"))
@@ -430,7 +430,7 @@
 
 // No sequence of acquisitions, completions, abandoned waits and disconnects leaks a
 // slot or leaves a caller without an answer.
-func TestNothingLeaksOverCuts(t *testing.T) {
+func TestNoSlotLeaksAcrossDisconnects(t *testing.T) {
 	gen := rapid.Custom(func(t *rapid.T) faultStep {
 		return faultStep{
 			Kind: rapid.SampledFrom([]string{"acquire", "acquire", "acquire", "abandon", "finish", "finish", "disconnect", "reconnect"}).Draw(t, "kind"),
