--- a/pkg/upstream/client.go
+++ b/pkg/upstream/client.go
@@ -15,29 +15,29 @@
 	"headhill.example/headhill/pkg/clock"
 )
 
-// Request is one request to one server.
+// Request is an HTTP request to one server.
 type Request struct {
-	// ServerKey names the incarnation of the server; connections are kept by it.
+	// ServerKey identifies the incarnation of the server. Connections are pooled by it.
 	ServerKey string
 	Address   string
 	Method    string
-	// Target is the path with the query, as it is sent.
+	// Target is the request target: the path with the query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MatchesResponse tells whether an answer belongs to this request; nil takes any.
+	// MatchesResponse reports whether a response header belongs to this request; nil accepts any.
 	MatchesResponse func(http.Header) bool
-	// NewConnection asks for a new connection.
+	// NewConnection bypasses the connection pool.
 	NewConnection bool
 }
 
-// Response is an answer whose head has arrived. Close must be called: it keeps the
-// connection if the whole answer was read, and else ends the exchange.
+// Response is a response whose header has been read. Close must be called to release its
+// connection.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, or -1 if the head does not say.
+	// Length is the length of the body, or -1 if the header does not declare it.
 	Length int64
 	Body   io.Reader
 
@@ -45,67 +45,71 @@
 	raw      *http.Response
 }
 
-// straysMost bounds the answers to earlier requests that are left out.
-const straysMost = 4
+// maxStaleResponses is the maximum number of response headers read for one request, as those of
+// interim responses and of responses to earlier requests are skipped.
+const maxStaleResponses = 4
 
-// Client makes exchanges.
+// Client sends requests to servers over pooled connections.
 type Client struct {
-	pool   *pool
-	probes *probes
-	dial   time.Duration
+	pool        *pool
+	probes      *probes
+	dialTimeout time.Duration
 }
 
-// NewClient returns a client that gives a connection this long to come up.
+// NewClient returns a client that dials with the given timeout.
 func NewClient(dialTimeout time.Duration) *Client {
-	return &Client{pool: newPool(), probes: &probes{list: make(map[string]*Probe)}, dial: dialTimeout}
+	return &Client{pool: newPool(), probes: &probes{byServer: make(map[string]*Probe)}, dialTimeout: dialTimeout}
 }
 
-// Do sends a request and returns when the head of its answer is there. The error is
-// *NotSentError or *BrokenError. When ctx ends, the connection is closed at once,
-// which ends the request at the server.
+// Do sends a request and returns once the response header has been read. The error is a
+// *NotSentError or an *InterruptedError. Canceling ctx closes the connection, which cancels the
+// request at the server.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
-	conn, err := c.connect(ctx, r)
+	conn, err := c.acquireConn(ctx, r)
 	if err != nil {
 		return nil, &NotSentError{Address: r.Address, Cause: err}
 	}
-	x := &exchange{client: c, conn: conn, server: r.ServerKey, written: make(chan error, 1)}
-	x.release = context.AfterFunc(ctx, func() { conn.Close() })
-	go func() { x.written <- x.write(r) }()
+	x := &exchange{client: c, conn: conn, serverKey: r.ServerKey, writeResult: make(chan error, 1)}
+	x.stopAbort = context.AfterFunc(ctx, func() { conn.Close() })
+	go func() { x.writeResult <- x.write(r) }()
 	raw, err := x.readHead(r)
 	if err != nil {
 		x.abort()
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return nil, &BrokenError{Address: r.Address, Cause: err}
+		return nil, &InterruptedError{Address: r.Address, Cause: err}
 	}
 	return &Response{Status: raw.StatusCode, Header: raw.Header, Length: raw.ContentLength, Body: raw.Body, exchange: x, raw: raw}, nil
 }
 
-func (c *Client) connect(ctx context.Context, r Request) (*conn, error) {
+func (c *Client) acquireConn(ctx context.Context, r Request) (*conn, error) {
 	if !r.NewConnection {
-		if kept := c.pool.take(r.ServerKey, clock.Now()); kept != nil {
-			return kept, nil
+		if pooled := c.pool.take(r.ServerKey, clock.Now()); pooled != nil {
+			return pooled, nil
 		}
 	}
-	raw, err := dialer(c.dial).DialContext(ctx, "tcp", r.Address)
+	raw, err := dialer(c.dialTimeout).DialContext(ctx, "tcp", r.Address)
 	if err != nil {
 		return nil, err
 	}
 	return newConn(raw), nil
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
-	client  *Client
-	conn    *conn
-	server  string
-	written chan error
-	release func() bool
-	once    sync.Once
+	client      *Client
+	conn        *conn
+	serverKey   string
+	writeResult chan error
+	// stopAbort cancels the closing of the connection at the end of the context. It returns false
+	// if that has already begun.
+	stopAbort func() bool
+	once      sync.Once
 }
 
-// write sends the head and the body.
+// write sends the request header and body. It skips invalid header fields, which could smuggle
+// another request.
 func (x *exchange) write(r Request) error {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
@@ -126,9 +130,10 @@
 	return err
 }
 
-// readHead reads heads until one belongs to the request.
+// readHead reads response headers until one matches the request, and discards the bodies of the
+// others.
 func (x *exchange) readHead(r Request) (*http.Response, error) {
-	for range straysMost {
+	for range maxStaleResponses {
 		raw, err := x.conn.readHead(r.Method)
 		if err != nil {
 			return nil, err
@@ -140,72 +145,72 @@
 			return raw, nil
 		}
 		if raw.Close || raw.ContentLength < 0 && len(raw.TransferEncoding) == 0 {
-			return nil, &MalformedError{Reason: "an answer to another request ends the connection"}
+			return nil, &MalformedResponseError{Reason: "an answer to another request ends the connection"}
 		}
 		if _, err := io.Copy(io.Discard, raw.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &MalformedError{Reason: "only answers to other requests came"}
+	return nil, &MalformedResponseError{Reason: "only answers to other requests came"}
 }
 
-// abort closes the connection.
 func (x *exchange) abort() {
 	x.once.Do(func() {
-		x.release()
+		x.stopAbort()
 		x.conn.Close()
 	})
 }
 
-// Close ends the exchange. Whole says that the body was read to its end.
-func (r *Response) Close(whole bool) {
+// Close returns the connection to the pool if complete is set, which states that the body was read
+// to its end, and the connection is reusable. It closes the connection otherwise.
+func (r *Response) Close(complete bool) {
 	x := r.exchange
-	if !whole || r.raw.Close || !x.release() || !x.sent() {
+	if !complete || r.raw.Close || !x.stopAbort() || !x.writeCompleted() {
 		x.abort()
 		return
 	}
-	x.once.Do(func() { x.keep(r.Header) })
+	x.once.Do(func() { x.returnToPool(r.Header) })
 }
 
-// sentWithin is how long the end of the sending may lag behind the end of the
-// answer: the sender may just not have had its turn on a busy processor.
-const sentWithin = 50 * time.Millisecond
+// writeGrace is how long Close waits for the writing goroutine, which may not have been scheduled
+// yet on a busy machine although the response is complete.
+const writeGrace = 50 * time.Millisecond
 
-// sent tells whether the request went out whole. A server may answer before it has
-// read all; what follows on such a connection is still part of the request.
-func (x *exchange) sent() bool {
-	timer := time.NewTimer(sentWithin)
+// writeCompleted reports whether the whole request was written. A server may respond before it has
+// read the request; the connection can't be reused then, as the rest of the request is still due.
+func (x *exchange) writeCompleted() bool {
+	timer := time.NewTimer(writeGrace)
 	defer timer.Stop()
 	select {
-	case err := <-x.written:
+	case err := <-x.writeResult:
 		return err == nil
 	case <-timer.C:
 		return false
 	}
 }
 
-func (x *exchange) keep(h http.Header) {
+func (x *exchange) returnToPool(h http.Header) {
 	x.conn.idleSince = clock.Now()
-	x.conn.idleMost = idleBound(h)
-	if x.conn.idleMost <= 0 || x.conn.reader.Buffered() > 0 {
+	x.conn.idleTimeout = idleTimeout(h)
+	if x.conn.idleTimeout <= 0 || x.conn.reader.Buffered() > 0 {
 		x.conn.Close()
 		return
 	}
-	x.client.pool.put(x.server, x.conn)
+	x.client.pool.put(x.serverKey, x.conn)
 }
 
-// idleBound is how long a connection may rest after an answer with this head.
-func idleBound(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle after a response with header h.
+func idleTimeout(h http.Header) time.Duration {
 	for _, v := range h.Values("Keep-Alive") {
 		for part := range strings.SplitSeq(v, ",") {
-			text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+			value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 			if !ok {
 				continue
 			}
-			if seconds, err := strconv.Atoi(text); err == nil {
+			if seconds, err := strconv.Atoi(value); err == nil {
 				return time.Duration(seconds)*time.Second - idleMargin
 			}
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/pkg/upstream/client_test.go
+++ b/pkg/upstream/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withServer runs f against a server that treats each connection with serve.
+// withServer calls f with a request to a test server that handles each connection with serve.
 func withServer(t *testing.T, serve func(net.Conn), f func(*Client, Request)) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	f(NewClient(time.Second), Request{ServerKey: "s", Address: address, Method: http.MethodGet, Target: "/", Host: address})
 }
 
-func TestEndlessHeadIsBounded(t *testing.T) {
+func TestResponseHeaderSizeIsBounded(t *testing.T) {
 	withServer(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		for {
@@ -47,13 +47,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		_, err := c.Do(ctx, r)
-		var broken *BrokenError
-		require.ErrorAs(t, err, &broken)
-		assert.NoError(t, ctx.Err(), "the bound on the head ends it, not the time")
+		var interrupted *InterruptedError
+		require.ErrorAs(t, err, &interrupted)
+		assert.NoError(t, ctx.Err(), "must fail at the header limit, not at the deadline")
 	})
 }
 
-func TestUnreachedIsToldFromBroken(t *testing.T) {
+func TestNotSentErrorDiffersFromInterruptedError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestCancelEndsTheExchangeAtTheServer(t *testing.T) {
+func TestCancelClosesServerConnection(t *testing.T) {
 	closed := make(chan struct{})
 	withServer(t, func(c net.Conn) {
 		_, _ = io.Copy(io.Discard, c)
@@ -80,7 +80,7 @@
 		select {
 		case <-closed:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the connection stayed open")
+			t.Fatal("connection still open 10 s after cancellation")
 		}
 	})
 }
@@ -101,14 +101,14 @@
 	})
 }
 
-func TestIdleBound(t *testing.T) {
-	for text, want := range map[string]time.Duration{
-		"": idleDefault, "timeout=5": 4 * time.Second, "max=3, timeout=10": 9 * time.Second, "timeout=x": idleDefault, "timeout=1": 0,
+func TestIdleTimeout(t *testing.T) {
+	for value, want := range map[string]time.Duration{
+		"": defaultIdleTimeout, "timeout=5": 4 * time.Second, "max=3, timeout=10": 9 * time.Second, "timeout=x": defaultIdleTimeout, "timeout=1": 0,
 	} {
 		h := http.Header{}
-		if text != "" {
-			h.Set("Keep-Alive", text)
+		if value != "" {
+			h.Set("Keep-Alive", value)
 		}
-		assert.Equal(t, want, idleBound(h), text)
+		assert.Equal(t, want, idleTimeout(h), value)
 	}
 }
--- a/pkg/upstream/conn.go
+++ b/pkg/upstream/conn.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent peer
-	// while an answer is awaited, unackedTimeout while data is being sent.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer while a
+	// response is awaited, tcpUserTimeout while sent data is unacknowledged.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	unackedTimeout    = 1500 * time.Millisecond
+	tcpUserTimeout    = 1500 * time.Millisecond
 
-	readBuffer = 4 << 10
-	// headMost bounds the head of an answer, in bytes.
-	headMost = 64 << 10
+	readBufferBytes = 4 << 10
+	// maxHeaderBytes is the maximum size of a response header.
+	maxHeaderBytes = 64 << 10
 )
 
-// conn is one connection to a server. It serves one exchange at a time.
+// conn is a connection to a server. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	// limit bounds what may be read; it stands while a head is read.
+	// limit caps the bytes read while a response header is parsed.
 	limit  *io.LimitedReader
 	reader *bufio.Reader
-	// idleSince is when the last exchange ended, idleMost how long the server
-	// keeps the connection after that.
-	idleSince time.Time
-	idleMost  time.Duration
+	// idleSince is the end of the last exchange. idleTimeout is how long the connection may be
+	// reused after that.
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 func newConn(c net.Conn) *conn {
 	limit := &io.LimitedReader{R: c, N: math.MaxInt64}
-	return &conn{Conn: c, limit: limit, reader: bufio.NewReaderSize(limit, readBuffer)}
+	return &conn{Conn: c, limit: limit, reader: bufio.NewReaderSize(limit, readBufferBytes)}
 }
 
-// readHead reads the head of an answer within its bound.
+// readHead reads a response header of up to maxHeaderBytes.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	c.limit.N = headMost
+	c.limit.N = maxHeaderBytes
 	defer func() { c.limit.N = math.MaxInt64 }()
 	return http.ReadResponse(c.reader, &http.Request{Method: method})
 }
 
-// dialer returns a dialer whose connections notice a peer that has fallen silent.
+// dialer returns a dialer whose connections detect an unresponsive peer.
 func dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -58,16 +58,15 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// A kernel without the option only notices later.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				// Without the option an unresponsive peer is only detected later.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 		},
 	}
 }
 
-// quiet tells whether an idle connection is still open and has sent nothing that
-// no request asked for.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is still open and has received no unsolicited data.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/pkg/upstream/doc.go
+++ b/pkg/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream makes HTTP/1.1 exchanges with backend servers over kept
-// connections. Unlike net/http's transport it never repeats a request by itself,
-// tells whether anything was written, and leaves out answers to earlier requests.
+// Package upstream sends HTTP/1.1 requests to backend servers over pooled connections. Unlike
+// net/http's transport it never retries a request by itself, reports whether anything was
+// written, and discards responses to earlier requests.
 package upstream
--- a/pkg/upstream/errors.go
+++ b/pkg/upstream/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// NotSentError says that nothing of a request was written to the server.
+// NotSentError is returned if no byte of a request was written to the server.
 type NotSentError struct {
 	Address string
 	Cause   error
@@ -17,28 +17,27 @@
 
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// BrokenError says that an exchange broke after something was written: the
-// request may have run.
-type BrokenError struct {
+// InterruptedError is returned if an exchange failed after part of the request may have been
+// written, so that the request may have run.
+type InterruptedError struct {
 	Address string
 	Cause   error
 }
 
-func (e *BrokenError) Error() string {
+func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("exchange with %s broke: %v: the request may have run, so repeat it only if that is allowed", e.Address, e.Cause)
 }
 
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *InterruptedError) Unwrap() error { return e.Cause }
 
-// MalformedError says that a server sent something that is no answer to the
-// request.
-type MalformedError struct{ Reason string }
+// MalformedResponseError is returned if a server sent data that is not a response to the request.
+type MalformedResponseError struct{ Reason string }
 
-func (e *MalformedError) Error() string {
+func (e *MalformedResponseError) Error() string {
 	return "malformed answer: " + e.Reason + ": check the server"
 }
 
-// IsNotSent tells whether nothing of a request was written.
+// IsNotSent reports whether err states that no byte of a request was written.
 func IsNotSent(err error) bool {
 	var e *NotSentError
 	return errors.As(err, &e)
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// idleDefault is how long a connection is kept whose server does not say.
-	idleDefault = 4 * time.Second
-	// idleMargin is left between our own bound and the server's.
-	idleMargin = time.Second
-	sweepEvery = 2 * time.Second
-	// idlePerServer bounds the idle connections to one server.
-	idlePerServer = 32
+	// defaultIdleTimeout applies to connections whose server declares no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the server's Keep-Alive timeout, so that no request is sent
+	// while the server closes the connection.
+	idleMargin       = time.Second
+	sweepInterval    = 2 * time.Second
+	maxIdlePerServer = 32
 )
 
-// pool keeps idle connections by server.
+// pool holds idle connections by server key.
 type pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -26,14 +26,14 @@
 
 func newPool() *pool { return &pool{idle: make(map[string][]*conn)} }
 
-// take returns the connection that was used last, if one is fit for use.
+// take removes and returns the most recently used connection that can be reused, or nil.
 func (p *pool) take(key string, now time.Time) *conn {
 	for {
 		c := p.pop(key)
 		if c == nil {
 			return nil
 		}
-		if now.Sub(c.idleSince) < c.idleMost && c.quiet() {
+		if now.Sub(c.idleSince) < c.idleTimeout && c.reusable() {
 			return c
 		}
 		c.Close()
@@ -43,19 +43,19 @@
 func (p *pool) pop(key string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[key]
-	if len(list) == 0 {
+	conns := p.idle[key]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[key] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[key] = conns[:len(conns)-1]
 	return c
 }
 
-// put keeps a connection for the next exchange.
+// put adds an idle connection, or closes it if the server has maxIdlePerServer already.
 func (p *pool) put(key string, c *conn) {
 	p.mu.Lock()
-	full := len(p.idle[key]) >= idlePerServer
+	full := len(p.idle[key]) >= maxIdlePerServer
 	if !full {
 		p.idle[key] = append(p.idle[key], c)
 	}
@@ -65,14 +65,14 @@
 	}
 }
 
-// sweep closes the connections that have rested too long.
+// sweep closes the connections that have reached their idle timeout.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if now.Sub(c.idleSince) < c.idleMost {
+	for key, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
@@ -86,9 +86,9 @@
 	}
 }
 
-// Run sweeps idle connections until ctx ends, and closes them all then.
+// Run closes expired idle connections until ctx is done, and then closes all idle connections.
 func (c *Client) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/pkg/upstream/probe.go
+++ b/pkg/upstream/probe.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// State is what a probe tells of a server's process.
+// State is the state of a server's process as found by a probe.
 type State int
 
 // States of servers.
 const (
-	// StateUnknown: the probe got no answer.
+	// StateUnknown means that the probe failed or timed out.
 	StateUnknown State = iota
-	// StateUp: something accepts connections at the address.
+	// StateUp means that the address accepts connections.
 	StateUp
-	// StateExited: the machine answers that nobody listens there.
+	// StateExited means that the machine refuses connections to the address.
 	StateExited
 )
 
@@ -24,55 +24,54 @@
 func (s State) String() string { return [...]string{"unknown", "up", "ended"}[s] }
 
 const (
-	// probeMost bounds a probe: a lost packet is sent again after a second.
-	probeMost = 2500 * time.Millisecond
-	// probeKept is how long the state that a probe found is taken for that of the same
-	// server: all its connections break within milliseconds of its end.
-	probeKept = 200 * time.Millisecond
+	// probeTimeout leaves time for a retransmission, which TCP sends after one second.
+	probeTimeout = 2500 * time.Millisecond
+	// probeCacheTTL is how long the result of a probe is reused for the same server, whose
+	// connections all break within milliseconds of its exit.
+	probeCacheTTL = 200 * time.Millisecond
 )
 
-// probes are the ones under way or just ended, by server.
+// probes holds the probes that are in flight or were completed recently.
 type probes struct {
-	mu   sync.Mutex
-	list map[string]*Probe
+	mu       sync.Mutex
+	byServer map[string]*Probe
 }
 
-// Probe is a question whether the process of a server runs, shared by all who ask at the time.
+// Probe is a check of a server's process, shared by concurrent callers.
 type Probe struct {
-	// Done is closed when State is known.
+	// Done is closed once State is set.
 	Done  chan struct{}
 	State State
 }
 
-// Probe finds out whether the process of a server that broke off still runs, by a connection
-// that is closed at once.
+// Probe checks whether the process of a server still runs by opening a connection to it. It joins
+// a probe of the same server that is in flight or was completed recently.
 func (c *Client) Probe(server, address string) *Probe {
 	c.probes.mu.Lock()
 	defer c.probes.mu.Unlock()
-	if p, ok := c.probes.list[server]; ok {
+	if p, ok := c.probes.byServer[server]; ok {
 		return p
 	}
 	p := &Probe{Done: make(chan struct{})}
-	c.probes.list[server] = p
+	c.probes.byServer[server] = p
 	go func() {
-		p.State = c.stateOf(address)
+		p.State = c.probeAddress(address)
 		close(p.Done)
-		time.AfterFunc(probeKept, func() { c.probes.forget(server) })
+		time.AfterFunc(probeCacheTTL, func() { c.probes.remove(server) })
 	}()
 	return p
 }
 
-func (p *probes) forget(server string) {
+func (p *probes) remove(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.list, server)
+	delete(p.byServer, server)
 }
 
-func (c *Client) stateOf(address string) State {
-	conn, err := dialer(probeMost).Dial("tcp", address)
+func (c *Client) probeAddress(address string) State {
+	conn, err := dialer(probeTimeout).Dial("tcp", address)
 	switch {
 	case err == nil:
-		// Nothing was sent on it.
 		_ = conn.Close()
 		return StateUp
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/pkg/upstream/probe_test.go
+++ b/pkg/upstream/probe_test.go
@@ -14,12 +14,12 @@
 	select {
 	case <-p.Done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the probe ends")
+		t.Fatal("probe did not finish within 10 s")
 	}
 	return p.State
 }
 
-func TestProbeTellsEndedServersFromRunningOnes(t *testing.T) {
+func TestProbeDetectsExitedServer(t *testing.T) {
 	c := NewClient(time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,5 +28,5 @@
 
 	listener.Close()
 	assert.Equal(t, StateExited, awaitProbe(t, c.Probe("b", address)))
-	assert.Same(t, c.Probe("b", address), c.Probe("b", address), "those who ask at the same time share a probe")
+	assert.Same(t, c.Probe("b", address), c.Probe("b", address), "concurrent probes of a server must be shared")
 }
