--- a/pkg/sse/sse.go
+++ b/pkg/sse/sse.go
@@ -1,4 +1,4 @@
-// Package sse reads server-sent events, as engines stream their answers.
+// Package sse reads and writes server-sent events, the format in which engines stream responses.
 package sse
 
 import (
@@ -8,39 +8,39 @@
 	"io"
 )
 
-// MaxEventBytes bounds one event, in bytes.
+// MaxEventBytes is the maximum size of the data of one event.
 const MaxEventBytes = 1 << 20
 
-// TooLongError says that an event exceeds the bound.
-type TooLongError struct{}
+// EventTooLongError is returned for an event larger than MaxEventBytes.
+type EventTooLongError struct{}
 
-func (e *TooLongError) Error() string {
+func (e *EventTooLongError) Error() string {
 	return fmt.Sprintf("event longer than %d bytes: check what the server streams", MaxEventBytes)
 }
 
-// Reader reads events one by one.
+// Reader reads events from a stream.
 type Reader struct {
 	r *bufio.Reader
 }
 
-// NewReader returns a reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 4096)} }
 
-// HasBuffered tells whether more of the stream has arrived already.
+// HasBuffered reports whether unread data of the stream is buffered.
 func (r *Reader) HasBuffered() bool { return r.r.Buffered() > 0 }
 
-// Next returns the data of the next event that has any. It returns io.EOF at the
-// end of the stream; an event that the end cuts off is not returned.
+// Next returns the data of the next event, skipping events without data. It returns io.EOF at
+// the end of the stream and drops an event truncated there.
 func (r *Reader) Next() ([]byte, error) {
 	var data []byte
-	has := false
+	hasData := false
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if len(line) == 0 {
-			if has {
+			if hasData {
 				return data, nil
 			}
 			continue
@@ -49,38 +49,38 @@
 		if !ok {
 			continue
 		}
-		if has {
+		if hasData {
 			data = append(data, '\n')
 		}
 		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
-		has = true
+		hasData = true
 		if len(data) > MaxEventBytes {
-			return nil, &TooLongError{}
+			return nil, &EventTooLongError{}
 		}
 	}
 }
 
-// line reads one line without its end. A line that the stream's end cuts off is
-// an error, so that half an event never counts.
-func (r *Reader) line() ([]byte, error) {
-	var whole []byte
+// readLine reads one line and strips its terminator. A line without a terminator is an error, so
+// that a truncated event is never returned.
+func (r *Reader) readLine() ([]byte, error) {
+	var line []byte
 	for {
-		part, err := r.r.ReadSlice('\n')
-		whole = append(whole, part...)
+		chunk, err := r.r.ReadSlice('\n')
+		line = append(line, chunk...)
 		if err == bufio.ErrBufferFull {
-			if len(whole) > MaxEventBytes {
-				return nil, &TooLongError{}
+			if len(line) > MaxEventBytes {
+				return nil, &EventTooLongError{}
 			}
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		return bytes.TrimRight(whole, "\r\n"), nil
+		return bytes.TrimRight(line, "\r\n"), nil
 	}
 }
 
-// Write writes one event with the data, which must be a single line.
+// Write writes one event; data must be a single line.
 func Write(w io.Writer, data []byte) error {
 	buf := make([]byte, 0, len(data)+8)
 	buf = append(buf, "data: "...)
--- a/pkg/sse/sse_test.go
+++ b/pkg/sse/sse_test.go
@@ -10,30 +10,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-func readAll(t *testing.T, s string) []string {
+func readAll(t *testing.T, stream string) []string {
 	t.Helper()
-	r := NewReader(strings.NewReader(s))
-	var list []string
+	r := NewReader(strings.NewReader(stream))
+	var events []string
 	for {
-		d, err := r.Next()
+		data, err := r.Next()
 		if errors.Is(err, io.EOF) {
-			return list
+			return events
 		}
 		require.NoError(t, err)
-		list = append(list, string(d))
+		events = append(events, string(data))
 	}
 }
 
-func TestReadsEvents(t *testing.T) {
+func TestReadEvents(t *testing.T) {
 	require.Equal(t, []string{"a", "b\nc", ""}, readAll(t, "data: a\n\n: comment\r\nevent: x\r\ndata:b\r\ndata: c\r\n\r\ndata:\n\n"))
 }
 
-func TestHalfAnEventDoesNotCount(t *testing.T) {
-	for _, s := range []string{"data: a", "data: a\n", "data: a\r\n"} {
-		require.Empty(t, readAll(t, s), "%q", s)
+func TestTruncatedEventIsDropped(t *testing.T) {
+	for _, stream := range []string{"data: a", "data: a\n", "data: a\r\n"} {
+		require.Empty(t, readAll(t, stream), "%q", stream)
 	}
 }
 
+// The data read from a stream must never be larger than the stream.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("data: {\"id\":1}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data\n\n\r\ndata: x\ndata: y\n\n"))
@@ -41,11 +42,11 @@
 		r := NewReader(bytes.NewReader(in))
 		total := 0
 		for {
-			d, err := r.Next()
+			data, err := r.Next()
 			if err != nil {
 				break
 			}
-			total += len(d) + 1
+			total += len(data) + 1
 		}
 		require.LessOrEqual(t, total, len(in)+1)
 	})
