--- a/pkg/stall/stall.go
+++ b/pkg/stall/stall.go
@@ -1,6 +1,5 @@
-// Package stall bounds an exchange by how long its answer stands still, not by how long
-// the whole takes. A large answer over a slow link may take as long as it needs while its
-// bytes keep coming.
+// Package stall limits how long a response may go without progress. Unlike a plain deadline it
+// allows a large response over a slow link to finish as long as bytes keep arriving.
 package stall
 
 import (
@@ -11,21 +10,21 @@
 	"time"
 )
 
-// Limits bound one exchange.
+// Limits are the timeouts of one exchange.
 type Limits struct {
-	// FirstByte is how long the first byte of the answer may take.
+	// FirstByte is the timeout for the first byte of the response.
 	FirstByte time.Duration
-	// Idle is how long the answer may stand still after that.
+	// Idle is the maximum time between two reads that return data.
 	Idle time.Duration
-	// Total bounds the whole exchange, the wait for the first byte left out.
+	// Total is the timeout for the whole response, counted from its first byte.
 	Total time.Duration
 }
 
-// Error is the cause of a context whose exchange was given up.
+// Error is the cancellation cause of a context whose exchange exceeded a limit.
 type Error struct {
-	// Started tells whether a part of the answer had come.
+	// Started is set if part of the response had arrived.
 	Started bool
-	// Limit is the limit that was passed.
+	// Limit is the exceeded limit.
 	Limit time.Duration
 }
 
@@ -36,73 +35,73 @@
 	return fmt.Sprintf("no answer within %s: ask again", e.Limit)
 }
 
-// monitor watches one exchange.
+// monitor enforces the limits of one exchange.
 type monitor struct {
-	limits Limits
-	begun  atomic.Bool
-	// silence fires when nothing has come for too long, most when the whole has
-	// taken too long. Most is set with the first byte.
-	silence *time.Timer
-	most    atomic.Pointer[time.Timer]
-	cancel  context.CancelCauseFunc
+	limits  Limits
+	started atomic.Bool
+	// idleTimer enforces Limits.FirstByte and then Limits.Idle. totalTimer enforces Limits.Total
+	// and is set at the first byte.
+	idleTimer  *time.Timer
+	totalTimer atomic.Pointer[time.Timer]
+	cancel     context.CancelCauseFunc
 }
 
 type monitorKey struct{}
 
-// WithLimits returns a context that ends when a limit is passed; its cause is then an
-// *Error. The function that it returns frees what the context holds.
+// WithLimits returns a context that is canceled when a limit is exceeded; its cause is then an
+// *Error. The returned function releases the resources of the context.
 func WithLimits(ctx context.Context, l Limits) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	m := &monitor{limits: l, cancel: cancel}
-	m.silence = time.AfterFunc(l.FirstByte, m.stalled)
-	return context.WithValue(ctx, monitorKey{}, m), m.end
+	m.idleTimer = time.AfterFunc(l.FirstByte, m.cancelStalled)
+	return context.WithValue(ctx, monitorKey{}, m), m.stop
 }
 
-// stalled ends the exchange as nothing has come.
-func (m *monitor) stalled() {
-	begun := m.begun.Load()
-	after := m.limits.FirstByte
-	if begun {
-		after = m.limits.Idle
+// cancelStalled cancels an exchange that has received no data within its limit.
+func (m *monitor) cancelStalled() {
+	started := m.started.Load()
+	limit := m.limits.FirstByte
+	if started {
+		limit = m.limits.Idle
 	}
-	m.cancel(&Error{Started: begun, Limit: after})
+	m.cancel(&Error{Started: started, Limit: limit})
 }
 
-// progress notes that a part of the answer has come.
+// progress restarts the idle timer, and starts the total timer at the first byte.
 func (m *monitor) progress() {
-	m.silence.Reset(m.limits.Idle)
-	if m.begun.Swap(true) {
+	m.idleTimer.Reset(m.limits.Idle)
+	if m.started.Swap(true) {
 		return
 	}
-	m.most.Store(time.AfterFunc(m.limits.Total, func() {
+	m.totalTimer.Store(time.AfterFunc(m.limits.Total, func() {
 		m.cancel(&Error{Started: true, Limit: m.limits.Total})
 	}))
 }
 
-func (m *monitor) end() {
-	m.silence.Stop()
-	if t := m.most.Load(); t != nil {
+func (m *monitor) stop() {
+	m.idleTimer.Stop()
+	if t := m.totalTimer.Load(); t != nil {
 		t.Stop()
 	}
 	m.cancel(context.Canceled)
 }
 
-// of returns the monitor of a context, nil if it has none.
-func of(ctx context.Context) *monitor {
+// monitorFrom returns the monitor stored in ctx, or nil.
+func monitorFrom(ctx context.Context) *monitor {
 	m, _ := ctx.Value(monitorKey{}).(*monitor)
 	return m
 }
 
-// Started tells whether a part of the answer has come.
+// Started reports whether part of the response has arrived.
 func Started(ctx context.Context) bool {
-	m := of(ctx)
-	return m != nil && m.begun.Load()
+	m := monitorFrom(ctx)
+	return m != nil && m.started.Load()
 }
 
-// NewReader returns a reader that notes each byte of an answer as progress of the exchange
-// that ctx bounds.
+// NewReader returns a reader of a response body that reports each read as progress to the limits
+// of ctx. It returns r itself if ctx has none.
 func NewReader(ctx context.Context, r io.Reader) io.Reader {
-	m := of(ctx)
+	m := monitorFrom(ctx)
 	if m == nil {
 		return r
 	}
--- a/pkg/stall/stall_test.go
+++ b/pkg/stall/stall_test.go
@@ -13,80 +13,80 @@
 
 var limits = Limits{FirstByte: 700 * time.Millisecond, Idle: 500 * time.Millisecond, Total: 5 * time.Second}
 
-// slowReader gives a byte after each pause until its context ends.
+// slowReader returns one byte after each delay, until ctx is done.
 type slowReader struct {
 	ctx    context.Context
-	pauses []time.Duration
+	delays []time.Duration
 }
 
 func (s *slowReader) Read(p []byte) (int, error) {
-	if len(s.pauses) == 0 {
+	if len(s.delays) == 0 {
 		return 0, io.EOF
 	}
 	select {
 	case <-s.ctx.Done():
 		return 0, context.Cause(s.ctx)
-	case <-time.After(s.pauses[0]):
+	case <-time.After(s.delays[0]):
 	}
-	s.pauses = s.pauses[1:]
+	s.delays = s.delays[1:]
 	p[0] = 'x'
 	return 1, nil
 }
 
-// read reads an answer whose bytes come after pauses.
-func read(t *testing.T, pauses ...time.Duration) (n int, took time.Duration, err error) {
+// read reads a response whose bytes arrive after the given delays.
+func read(t *testing.T, delays ...time.Duration) (n int, elapsed time.Duration, err error) {
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := WithLimits(context.Background(), limits)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		var data []byte
-		data, err = io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, pauses: pauses}))
-		n, took = len(data), time.Since(begun)
+		data, err = io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, delays: delays}))
+		n, elapsed = len(data), time.Since(start)
 	})
-	return n, took, err
+	return n, elapsed, err
 }
 
 func repeat(d time.Duration, n int) []time.Duration {
-	var list []time.Duration
+	var durations []time.Duration
 	for range n {
-		list = append(list, d)
+		durations = append(durations, d)
 	}
-	return list
+	return durations
 }
 
 func TestAnswerThatKeepsComingIsRead(t *testing.T) {
-	n, took, err := read(t, repeat(400*time.Millisecond, 10)...)
+	n, elapsed, err := read(t, repeat(400*time.Millisecond, 10)...)
 	require.NoError(t, err)
 	assert.Equal(t, 10, n)
-	assert.Equal(t, 4*time.Second, took)
+	assert.Equal(t, 4*time.Second, elapsed)
 }
 
 func TestLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		pauses []time.Duration
-		want   Error
-		took   time.Duration
+		delays  []time.Duration
+		want    Error
+		elapsed time.Duration
 	}{
-		"no answer":         {pauses: repeat(time.Second, 1), want: Error{Limit: limits.FirstByte}, took: limits.FirstByte},
-		"it stands still":   {pauses: []time.Duration{100 * time.Millisecond, 600 * time.Millisecond}, want: Error{Started: true, Limit: limits.Idle}, took: 600 * time.Millisecond},
-		"it takes for ever": {pauses: repeat(400*time.Millisecond, 100), want: Error{Started: true, Limit: limits.Total}, took: 400*time.Millisecond + limits.Total},
+		"no response":      {delays: repeat(time.Second, 1), want: Error{Limit: limits.FirstByte}, elapsed: limits.FirstByte},
+		"idle response":    {delays: []time.Duration{100 * time.Millisecond, 600 * time.Millisecond}, want: Error{Started: true, Limit: limits.Idle}, elapsed: 600 * time.Millisecond},
+		"endless response": {delays: repeat(400*time.Millisecond, 100), want: Error{Started: true, Limit: limits.Total}, elapsed: 400*time.Millisecond + limits.Total},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, took, err := read(t, c.pauses...)
+			_, elapsed, err := read(t, c.delays...)
 			var stalled *Error
 			require.ErrorAs(t, err, &stalled)
 			assert.Equal(t, c.want, *stalled)
-			assert.Equal(t, c.took, took)
+			assert.Equal(t, c.elapsed, elapsed)
 		})
 	}
 }
 
-func TestBegun(t *testing.T) {
+func TestStarted(t *testing.T) {
 	ctx, cancel := WithLimits(context.Background(), limits)
 	defer cancel()
 	assert.False(t, Started(ctx))
-	_, err := io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, pauses: repeat(time.Millisecond, 1)}))
+	_, err := io.ReadAll(NewReader(ctx, &slowReader{ctx: ctx, delays: repeat(time.Millisecond, 1)}))
 	require.NoError(t, err)
 	assert.True(t, Started(ctx))
-	assert.False(t, Started(context.Background()), "an exchange without limits")
+	assert.False(t, Started(context.Background()), "context without limits")
 }
