--- a/pkg/pause/pause.go
+++ b/pkg/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides interruptible sleeps and randomized delays.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends.
+// For sleeps for d, or until ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/pkg/pause/pause_test.go
+++ b/pkg/pause/pause_test.go
@@ -10,38 +10,38 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestForReturnsAfterDurationOrCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		For(t.Context(), time.Second)
-		assert.Equal(t, time.Second, time.Since(begun))
+		assert.Equal(t, time.Second, time.Since(start))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		For(ctx, time.Hour)
-		assert.Equal(t, 2*time.Second, time.Since(begun))
+		assert.Equal(t, 2*time.Second, time.Since(start))
 	})
 }
 
-// Of many boxes few act before the first of them is heard, however many they are; all do in the end.
+// The number of boxes that act before they learn of the first one must not grow with the fleet.
 func TestFewActBeforeTheyAreSpared(t *testing.T) {
-	const window, heard = time.Second, 200 * time.Millisecond
+	const window, latency = time.Second, 200 * time.Millisecond
 	assert.Zero(t, SuppressionDelay(window, 1))
 	for _, n := range []int{10, 100, 1000, 2000} {
-		const plays = 50
-		acted := 0
-		for range plays {
-			waits := make([]time.Duration, n)
-			for i := range waits {
-				waits[i] = SuppressionDelay(window, n)
-				assert.LessOrEqual(t, waits[i], window)
+		const rounds = 50
+		fired := 0
+		for range rounds {
+			delays := make([]time.Duration, n)
+			for i := range delays {
+				delays[i] = SuppressionDelay(window, n)
+				assert.LessOrEqual(t, delays[i], window)
 			}
-			first := slices.Min(waits)
-			for _, w := range waits {
-				if w <= first+heard {
-					acted++
+			first := slices.Min(delays)
+			for _, d := range delays {
+				if d <= first+latency {
+					fired++
 				}
 			}
 		}
-		assert.LessOrEqual(t, acted, 12*plays, "%d boxes: mean of those that act", n)
+		assert.LessOrEqual(t, fired, 12*rounds, "%d boxes: mean number that act", n)
 	}
 }
