--- a/pkg/mailbox/mailbox.go
+++ b/pkg/mailbox/mailbox.go
@@ -1,5 +1,4 @@
-// Package mailbox holds messages on their way to a slower reader, in order and
-// within a bound.
+// Package mailbox provides a bounded in-order message queue that never blocks its writers.
 package mailbox
 
 import (
@@ -8,36 +7,36 @@
 )
 
 const (
-	// MaxMessages bounds the messages waiting; beyond it the mailbox breaks, and its
-	// two sides have to agree anew.
+	// MaxMessages is the capacity of a bounded mailbox. A write beyond it makes the mailbox
+	// overflow for good, and sender and receiver must resynchronize over a new one.
 	MaxMessages = 1 << 16
-	// MaxBatch bounds the messages taken at a time.
+	// MaxBatch is the maximum number of messages returned by one Take.
 	MaxBatch = 256
 )
 
 // Mailbox is a queue with any number of writers and one reader.
 type Mailbox[T any] struct {
-	mu     sync.Mutex
-	items  []T
-	wake   chan struct{}
-	most   int
-	broken bool
+	mu         sync.Mutex
+	items      []T
+	wake       chan struct{}
+	limit      int
+	overflowed bool
 }
 
-// New returns an empty mailbox.
-func New[T any]() *Mailbox[T] { return &Mailbox[T]{wake: make(chan struct{}, 1), most: MaxMessages} }
+// New returns an empty mailbox that holds up to MaxMessages.
+func New[T any]() *Mailbox[T] { return &Mailbox[T]{wake: make(chan struct{}, 1), limit: MaxMessages} }
 
-// NewUnbounded returns an empty mailbox that never breaks, for a reader in the same
-// process: there is no other side to agree with anew.
+// NewUnbounded returns an empty mailbox that never overflows, for a reader in the same process,
+// which has no way to resynchronize.
 func NewUnbounded[T any]() *Mailbox[T] { return &Mailbox[T]{wake: make(chan struct{}, 1)} }
 
-// Put adds a message without waiting; false means that the mailbox is broken.
+// Put appends a message without blocking. It returns false if the mailbox has overflowed.
 func (m *Mailbox[T]) Put(v T) bool {
 	m.mu.Lock()
-	if m.most > 0 && len(m.items) >= m.most {
-		m.broken = true
+	if m.limit > 0 && len(m.items) >= m.limit {
+		m.overflowed = true
 	}
-	ok := !m.broken
+	ok := !m.overflowed
 	if ok {
 		m.items = append(m.items, v)
 	}
@@ -49,12 +48,12 @@
 	return ok
 }
 
-// Take waits for messages and returns up to MaxBatch; false means that ctx ended
-// or the mailbox broke.
+// Take blocks until messages are available and returns up to MaxBatch of them. It returns false
+// if ctx is done or the mailbox has overflowed.
 func (m *Mailbox[T]) Take(ctx context.Context) ([]T, bool) {
 	for {
 		m.mu.Lock()
-		if m.broken {
+		if m.overflowed {
 			m.mu.Unlock()
 			return nil, false
 		}
--- a/pkg/mailbox/mailbox_test.go
+++ b/pkg/mailbox/mailbox_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOrderAndBounds(t *testing.T) {
+func TestOrderAndOverflow(t *testing.T) {
 	bounded, unbounded := New[int](), NewUnbounded[int]()
 	for i := range MaxMessages {
 		require.True(t, bounded.Put(i))
 		require.True(t, unbounded.Put(i))
 	}
-	require.False(t, bounded.Put(MaxMessages), "beyond the bound the mailbox breaks")
+	require.False(t, bounded.Put(MaxMessages), "a write beyond MaxMessages makes the mailbox overflow")
 	_, ok := bounded.Take(t.Context())
 	require.False(t, ok)
 	require.True(t, unbounded.Put(MaxMessages))
