--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -10,28 +10,25 @@
 )
 
 const (
-	// waitUrgent and waitLeast bound how long those before a request may take the engines, for
-	// the most and the least urgent rank, in shortest targets of the service's routes. A request
-	// whose turn comes later is too late for its target, and makes the queue longer in which
-	// others wait. Ranks between lie evenly, so that a less urgent request is refused well
-	// before a more urgent one is.
-	waitUrgent = 2.5
-	waitLeast  = 0.75
-	// placesUrgent and placesLeast are the shares of an engine's places that may be taken for a
-	// request of the most and the least urgent rank to go there. An engine without a place
-	// preempts what it has begun for what is more urgent, and not always the least urgent of it:
-	// the last places are kept for urgent requests.
-	placesUrgent = 1.0
-	placesLeast  = 0.6
-	// comeBackLeast is when a caller comes back at the soonest.
-	comeBackLeast = 300 * time.Millisecond
+	// maxWaitTargetsMostUrgent and maxWaitTargetsLeastUrgent are the maximum queueing times at the
+	// engines for requests of the most and the least urgent rank, in multiples of the service's
+	// shortest first-event target. A request that would wait longer misses its target and delays
+	// the others. Limits of the ranks between are interpolated, so that less urgent requests are
+	// refused earlier.
+	maxWaitTargetsMostUrgent  = 2.5
+	maxWaitTargetsLeastUrgent = 0.75
+	// maxOccupancyMostUrgent and maxOccupancyLeastUrgent are the shares of an engine's places that
+	// may be in use for a request of the most and the least urgent rank to be admitted. The last
+	// places are reserved for urgent requests, as a full engine has to preempt running work for
+	// them.
+	maxOccupancyMostUrgent  = 1.0
+	maxOccupancyLeastUrgent = 0.6
+	minAdmissionRetryAfter  = 300 * time.Millisecond
 )
 
-// admit refuses a request at once whose turn at the engines would come too late. As engines take
-// urgent requests first, and only what is before a request counts, the least urgent are refused
-// first. It guards against queues that fill with what is given up in them: with engines for 30 in
-// 100 of a load, 168 requests waited in vain in 20 s of played load in place of 2,503, and urgent
-// ones were all served (TestOverloadedServiceRefusesTheLeastUrgent).
+// admit refuses a request that would wait too long for the engines. Engines run urgent requests
+// first, and only work ahead of the request counts, so the least urgent requests are refused first.
+// This keeps queues from filling with requests whose callers give up before they run.
 func (x *exchange) admit() error {
 	if !x.service.Engine {
 		return nil
@@ -40,48 +37,49 @@
 	servers := x.candidates(x.gateway.Directory.View(), now)
 	servers = x.gateway.Balancer.Unconstrained(servers, now)
 	if len(servers) == 0 {
-		// An outage is waited for.
+		// An outage: run waits for a server.
 		return nil
 	}
 	turn, known := x.gateway.Balancer.Turn(x.service.Name, x.rank(), len(servers), now)
-	most := x.waitMost()
-	x.expectedWait, x.keepPlaces = turn.Wait, turn.Urgent
-	late := known && most > 0 && turn.Wait > most
-	if !late && (turn.Passes || x.gateway.Balancer.HasPlace(servers, x.places(), now)) {
+	maxWait := x.maxWait()
+	x.expectedWait, x.reservePlaces = turn.Wait, turn.Urgent
+	tooLate := known && maxWait > 0 && turn.Wait > maxWait
+	if !tooLate && (turn.Passes || x.gateway.Balancer.HasPlace(servers, x.maxOccupancy(), now)) {
 		return nil
 	}
-	after := x.comeBack(turn.Wait)
+	retryAfter := x.admissionRetryAfter(turn.Wait)
 	_ = level.Info(x.gateway.Logger).Log("msg", "not admitted", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
-		"late", late, "wait_ms", turn.Wait.Milliseconds(), "most_ms", most.Milliseconds(), "servers", len(servers), "come_back_ms", after.Milliseconds())
-	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), RetryAfter: after}
+		"late", tooLate, "wait_ms", turn.Wait.Milliseconds(), "most_ms", maxWait.Milliseconds(), "servers", len(servers), "come_back_ms", retryAfter.Milliseconds())
+	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), RetryAfter: retryAfter}
 }
 
-// waitMost is how long those before the request may take the engines.
-func (x *exchange) waitMost() time.Duration {
-	targets := x.byRank(waitUrgent, waitLeast)
+// maxWait returns the maximum queueing time of the request.
+func (x *exchange) maxWait() time.Duration {
+	targets := x.interpolateByRank(maxWaitTargetsMostUrgent, maxWaitTargetsLeastUrgent)
 	return time.Duration(targets * float64(x.view.Table.ShortestTarget(x.service.Name)))
 }
 
-// places is the share of an engine's places that may be taken for the request to go there. Some
-// are kept only where more urgent requests come.
-func (x *exchange) places() float64 {
-	if !x.keepPlaces {
-		return placesUrgent
+// maxOccupancy returns the share of an engine's places that may be in use for the request to be
+// sent there. Places are reserved only while more urgent requests arrive.
+func (x *exchange) maxOccupancy() float64 {
+	if !x.reservePlaces {
+		return maxOccupancyMostUrgent
 	}
-	return x.byRank(placesUrgent, placesLeast)
+	return x.interpolateByRank(maxOccupancyMostUrgent, maxOccupancyLeastUrgent)
 }
 
-// byRank is a value for the request's rank between those of the most and the least urgent one.
-func (x *exchange) byRank(urgent, least float64) float64 {
-	ranks := x.view.Table.LeastRank()
-	if ranks == 0 {
-		return urgent
+// interpolateByRank interpolates between the values for the most and the least urgent rank by the
+// rank of the request.
+func (x *exchange) interpolateByRank(mostUrgent, leastUrgent float64) float64 {
+	leastRank := x.view.Table.LeastRank()
+	if leastRank == 0 {
+		return mostUrgent
 	}
-	return urgent - (urgent-least)*float64(x.rank())/float64(ranks)
+	return mostUrgent - (mostUrgent-leastUrgent)*float64(x.rank())/float64(leastRank)
 }
 
-// comeBack is when to come back to engines that have work for some time: once they have done it,
-// and no later than a third of the caller's time from now.
-func (x *exchange) comeBack(wait time.Duration) time.Duration {
-	return jitter(min(max(wait, comeBackLeast), clock.Until(x.deadline)/(2*stayAwayMost)))
+// admissionRetryAfter returns the Retry-After of a request whose queueing time would be wait: about
+// as long, but with jitter no more than a third of the caller's remaining time.
+func (x *exchange) admissionRetryAfter(wait time.Duration) time.Duration {
+	return jitter(min(max(wait, minAdmissionRetryAfter), clock.Until(x.deadline)/(2*retryAfterDivisor)))
 }
--- a/pkg/gateway/answer.go
+++ b/pkg/gateway/answer.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// answerMost bounds an answer that is held until it is whole; a longer one is
-	// passed on as it comes.
-	answerMost = 512 << 10
-	// drainMost bounds what is read of an answer that nobody wants.
-	drainMost = 64 << 10
-	// callerPatience bounds how long a caller may take to read a piece.
-	callerPatience = 10 * time.Second
+	// maxBufferedBytes is the maximum size of a response that is buffered before it is forwarded.
+	// Longer responses are streamed.
+	maxBufferedBytes = 512 << 10
+	// maxDrainBytes is how much of an unwanted response is read to keep its connection reusable.
+	maxDrainBytes = 64 << 10
+	// callerWriteTimeout is the timeout of one write to the caller.
+	callerWriteTimeout = 10 * time.Second
 
-	eventStream = "text/event-stream"
+	eventStreamType = "text/event-stream"
 )
 
-// wholeAnswer is an answer that has arrived whole.
-type wholeAnswer struct {
+// bufferedResponse is a response that has been read completely.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -35,63 +35,64 @@
 
 func isStream(r *upstream.Response) bool {
 	kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
-	return kind == eventStream && r.Status == http.StatusOK
+	return kind == eventStreamType && r.Status == http.StatusOK
 }
 
-// drain reads the rest of a short answer, so that its connection can be kept.
+// drain discards the rest of a short response, so that its connection can be reused.
 func drain(r *upstream.Response) {
-	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, drainMost))
-	r.Close(err == nil && n < drainMost)
+	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDrainBytes))
+	r.Close(err == nil && n < maxDrainBytes)
 }
 
-// whole passes an answer on once all of it is there, so that one that breaks off
-// never reaches the caller in part.
-func (x *exchange) whole(resp *upstream.Response, lease *balancer.Lease) (*failure, error) {
-	x.noteRun(x.sent)
-	body, complete, err := x.hold(resp.Body)
+// forwardBuffered reads the whole response before it forwards any of it, so that a truncated
+// response never reaches the caller.
+func (x *exchange) forwardBuffered(resp *upstream.Response, lease *balancer.Lease) (*failure, error) {
+	x.recordStart(x.attemptStart)
+	body, complete, err := x.bufferResponse(resp.Body)
 	if err != nil {
 		resp.Close(false)
-		return &failure{result: balancer.ResultFailed, broken: true, cause: err}, nil
+		return &failure{result: balancer.ResultFailed, disconnected: true, cause: err}, nil
 	}
 	lease.Begun(clock.Now())
 	if !complete {
-		return x.passLong(resp, body)
+		return x.forwardUnbuffered(resp, body)
 	}
 	resp.Close(true)
-	a := &wholeAnswer{status: resp.Status, header: resp.Header, body: body}
-	if resp.Status >= http.StatusInternalServerError || x.begun {
-		return &failure{result: statusResult(resp.Status), cause: errors.New("server answered " + strconv.Itoa(resp.Status)), answer: a}, nil
+	buffered := &bufferedResponse{status: resp.Status, header: resp.Header, body: body}
+	if resp.Status >= http.StatusInternalServerError || x.headSent {
+		return &failure{result: resultOfStatus(resp.Status), cause: errors.New("server answered " + strconv.Itoa(resp.Status)), response: buffered}, nil
 	}
-	return nil, x.passOn(a)
+	return nil, x.sendBuffered(buffered)
 }
 
-// statusResult is what a status says of the server. 504 says that the time of the
-// request was too short for its work.
-func statusResult(status int) balancer.Result {
+// resultOfStatus maps an error status to the result reported to the balancer. A 504 is no server
+// failure: the time left for the request was too short.
+func resultOfStatus(status int) balancer.Result {
 	if status == http.StatusGatewayTimeout {
 		return balancer.ResultAbandoned
 	}
 	return balancer.ResultFailed
 }
 
-// passOn gives the caller a whole answer.
-func (x *exchange) passOn(a *wholeAnswer) error {
-	copyHeader(x.writer.Header(), a.header)
-	x.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	x.begin(a.status)
-	if _, err := x.writer.Write(a.body); err != nil {
+// sendBuffered sends a buffered response to the caller.
+func (x *exchange) sendBuffered(resp *bufferedResponse) error {
+	copyHeader(x.writer.Header(), resp.header)
+	x.writer.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
+	x.writeHead(resp.status)
+	if _, err := x.writer.Write(resp.body); err != nil {
 		return &callerGoneError{Cause: err}
 	}
 	return nil
 }
 
-// passLong passes on an answer that is too long to be held, or for which no room is left.
-func (x *exchange) passLong(resp *upstream.Response, head []byte) (*failure, error) {
+// forwardUnbuffered streams a response that is too long to be buffered, or for which the box has no
+// memory left. head is the part read so far.
+func (x *exchange) forwardUnbuffered(resp *upstream.Response, head []byte) (*failure, error) {
 	copyHeader(x.writer.Header(), resp.Header)
 	if resp.Length >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
 	}
-	x.begin(resp.Status)
+	x.writeHead(resp.Status)
 	if _, err := x.writer.Write(head); err != nil {
 		resp.Close(false)
 		return nil, &callerGoneError{Cause: err}
@@ -99,10 +100,10 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := resp.Body.Read(buffer)
-		x.allowTime()
-		if _, werr := x.writer.Write(buffer[:n]); werr != nil {
+		x.extendWriteDeadline()
+		if _, writeErr := x.writer.Write(buffer[:n]); writeErr != nil {
 			resp.Close(false)
-			return nil, &callerGoneError{Cause: werr}
+			return nil, &callerGoneError{Cause: writeErr}
 		}
 		if err == io.EOF {
 			resp.Close(true)
@@ -110,32 +111,31 @@
 		}
 		if err != nil {
 			resp.Close(false)
-			return nil, &brokenOffError{Cause: err}
+			return nil, &truncatedError{Cause: err}
 		}
 	}
 }
 
-// begin sends the head of the answer.
-func (x *exchange) begin(status int) {
-	x.begun = true
+// writeHead sends the status and header of the response to the caller.
+func (x *exchange) writeHead(status int) {
+	x.headSent = true
 	x.status = status
-	x.allowTime()
+	x.extendWriteDeadline()
 	x.writer.WriteHeader(status)
 }
 
-// allowTime gives the caller its time to read the next piece.
-func (x *exchange) allowTime() {
-	// A writer without deadlines, as in tests, has no slow caller either.
-	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(callerPatience))
+// extendWriteDeadline restarts the timeout for writes to the caller.
+func (x *exchange) extendWriteDeadline() {
+	// Response writers of tests don't support deadlines.
+	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 }
 
-// copyHeader copies the headers that are not of one connection. Headers that
-// net/http would add by itself are held back.
+// copyHeader copies the end-to-end headers and suppresses those that net/http would add by default.
 func copyHeader(to, from http.Header) {
 	maps.Copy(to, upstream.EndToEndHeader(from))
-	for _, added := range []string{"Content-Type", "Date"} {
-		if _, ok := from[added]; !ok {
-			to[added] = nil
+	for _, name := range []string{"Content-Type", "Date"} {
+		if _, ok := from[name]; !ok {
+			to[name] = nil
 		}
 	}
 }
--- a/pkg/gateway/close.go
+++ b/pkg/gateway/close.go
@@ -15,7 +15,7 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Outcome is how a request ended, for logs and metrics.
+// Outcome is the outcome of a request in logs and metrics.
 type Outcome string
 
 // Outcomes of requests.
@@ -28,7 +28,7 @@
 	OutcomeCallerGone Outcome = "caller-gone"
 )
 
-// Record is what is told of an ended request.
+// Record describes a finished request.
 type Record struct {
 	Route            string
 	Organisation     string
@@ -39,21 +39,22 @@
 	Duration         time.Duration
 }
 
-// Recorder takes the records of ended requests.
+// Recorder receives the records of finished requests.
 type Recorder interface{ Record(Record) }
 
-// close gives the caller its final answer if it has none yet, and tells how the
-// request ended.
-func (x *exchange) close(err error) {
-	outcome := x.answerError(err)
-	x.report(outcome, err)
+// finish sends an error response if err is not nil and nothing was sent yet, and records the
+// outcome of the request.
+func (x *exchange) finish(err error) {
+	outcome := x.writeError(err)
+	x.recordAndLog(outcome, err)
 	if outcome == OutcomeTruncated || outcome == OutcomeCallerGone {
-		// The connection is cut, so that nothing looks complete.
+		// Abort the connection, so that the caller doesn't take the truncated response for
+		// complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (x *exchange) answerError(err error) Outcome {
+func (x *exchange) writeError(err error) Outcome {
 	var denied *CallError
 	var refused *RefusedError
 	var unknown *UnknownError
@@ -63,46 +64,46 @@
 		return OutcomeDone
 	case errors.As(err, &gone):
 		return OutcomeCallerGone
-	case x.begun:
+	case x.headSent:
 		return OutcomeTruncated
 	case errors.As(err, &denied):
-		x.final(denied.Status, err)
+		x.writeErrorBody(denied.Status, err)
 		return OutcomeDenied
 	case errors.As(err, &refused):
 		x.gateway.Protocol.SetRetryAfter(x.writer.Header(), refused.RetryAfter)
-		x.final(http.StatusServiceUnavailable, err)
+		x.writeErrorBody(http.StatusServiceUnavailable, err)
 		return OutcomeNotRun
 	case errors.As(err, &unknown):
-		x.final(unknown.status(), err)
+		x.writeErrorBody(unknown.status(), err)
 		return OutcomeUnknown
 	}
-	x.final(http.StatusInternalServerError, err)
+	x.writeErrorBody(http.StatusInternalServerError, err)
 	return OutcomeUnknown
 }
 
-func (x *exchange) final(status int, err error) {
+func (x *exchange) writeErrorBody(status int, err error) {
 	x.writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	x.begin(status)
+	x.writeHead(status)
 	_, _ = io.WriteString(x.writer, err.Error()+"\n")
 }
 
-func (x *exchange) report(outcome Outcome, err error) {
+func (x *exchange) recordAndLog(outcome Outcome, err error) {
 	now := clock.Now()
-	r := Record{Outcome: outcome, Status: x.status, Retries: max(0, len(x.servers)-1), Duration: now.Sub(x.arrival)}
+	r := Record{Outcome: outcome, Status: x.status, Retries: max(0, len(x.attempted)-1), Duration: now.Sub(x.arrival)}
 	if x.route != nil {
 		r.Route = x.route.Name
 	}
 	if x.organisation != nil {
 		r.Organisation = x.organisation.Name
 	}
-	if !x.firstEvent.IsZero() {
-		r.TimeToFirstEvent = x.firstEvent.Sub(x.arrival)
+	if !x.firstEventTime.IsZero() {
+		r.TimeToFirstEvent = x.firstEventTime.Sub(x.arrival)
 	}
 	x.gateway.Recorder.Record(r)
 	fields := []any{
 		"msg", "request", "id", x.call.ID, "outcome", outcome, "status", x.status, "route", r.Route, "organisation", r.Organisation,
-		"servers", lives(x.servers), "total_ms", r.Duration.Milliseconds(),
-		"first_ms", r.TimeToFirstEvent.Milliseconds(), "events", x.events, "pause_ms", x.longestPause.Milliseconds(), "patience_ms", x.call.Timeout.Milliseconds(),
+		"servers", serverIDs(x.attempted), "total_ms", r.Duration.Milliseconds(),
+		"first_ms", r.TimeToFirstEvent.Milliseconds(), "events", x.eventCount, "pause_ms", x.maxEventGap.Milliseconds(), "patience_ms", x.call.Timeout.Milliseconds(),
 	}
 	if x.view.Table != nil {
 		fields = append(fields, "version", x.view.Table.Version, "table_age_ms", x.view.TableAge(x.arrival).Milliseconds(),
@@ -114,25 +115,25 @@
 	_ = level.Info(x.gateway.Logger).Log(fields...)
 }
 
-// lives are the names of servers that were tried, for logs.
-func lives(list []routing.Life) string {
-	names := make([]string, len(list))
-	for i, l := range list {
-		names[i] = l.ID
+// serverIDs joins the IDs of servers for a log line.
+func serverIDs(servers []routing.Life) string {
+	ids := make([]string, len(servers))
+	for i, l := range servers {
+		ids[i] = l.ID
 	}
-	return strings.Join(names, ",")
+	return strings.Join(ids, ",")
 }
 
-// logAttempt tells which server was chosen, on what, and how it went there.
+// logAttempt logs an attempt with the inputs of the balancer's choice and its result.
 func (x *exchange) logAttempt(lease *balancer.Lease, result balancer.Result, f *failure) {
 	in := lease.Inputs
 	fields := []any{
-		"msg", "attempt", "id", x.call.ID, "attempt", len(x.servers), "server", lease.Server.ID, "address", lease.Server.Address,
+		"msg", "attempt", "id", x.call.ID, "attempt", len(x.attempted), "server", lease.Server.ID, "address", lease.Server.Address,
 		"result", result, "candidates", in.Candidates, "tokens", x.call.PromptTokens, "prefill", in.Prefill, "running", in.Running, "others_running", in.OthersRunning, "backlog", in.Backlog, "others_backlog", in.OthersBacklog, "load_age_ms", in.LoadAge.Milliseconds(),
 		"prefix", in.Prefix, "home", in.Home, "interactive", in.Interactive, "lane", in.Lane, "cached", in.Cached, "transferred", in.Transferred, "failures", math.Round(in.Failures*100) / 100, "rank", x.rank(), "expected_wait_ms", x.expectedWait.Milliseconds(), "left_ms", clock.Until(x.deadline).Milliseconds(),
 	}
 	if f != nil {
-		fields = append(fields, "not_run", f.notRun, "last_event", x.lastEvent, "err", f.cause)
+		fields = append(fields, "not_run", f.notExecuted, "last_event", x.lastEventID, "err", f.cause)
 	}
 	_ = level.Info(x.gateway.Logger).Log(fields...)
 }
--- a/pkg/gateway/doc.go
+++ b/pkg/gateway/doc.go
@@ -1,3 +1,3 @@
-// Package gateway is the callers' side of a routing box: it reads a request, finds
-// its route, sends it to backend servers, and gives its caller exactly one answer.
+// Package gateway implements the caller-facing side of a routing box: it reads a request, matches
+// it to a route, sends it to backend servers, and returns exactly one response to the caller.
 package gateway
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -8,7 +8,7 @@
 	"headhill.example/headhill/pkg/balancer"
 )
 
-// CallError says that a request can't be served as it is.
+// CallError rejects a request that is invalid or not allowed. Retrying it unchanged is pointless.
 type CallError struct {
 	Status  int
 	Message string
@@ -16,7 +16,7 @@
 
 func (e *CallError) Error() string { return e.Message }
 
-// RefusedError says that a request was not run here, and when to come back.
+// RefusedError is returned for a request that was not run and may be retried after RetryAfter.
 type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -26,9 +26,10 @@
 	return fmt.Sprintf("not run: %s: come back after %s", e.Reason, e.RetryAfter)
 }
 
-// UnknownError says that a request may have run, but that no whole answer came.
+// UnknownError is returned for a request that may have run, but whose response was not received
+// completely.
 type UnknownError struct {
-	// Timeout says that the time was over.
+	// Timeout is set if the deadline of the request expired.
 	Timeout bool
 	Cause   error
 }
@@ -46,19 +47,20 @@
 	return http.StatusBadGateway
 }
 
-// callerGoneError says that the caller does not take its answer any more.
+// callerGoneError is returned if the caller disconnected or stopped reading the response.
 type callerGoneError struct{ Cause error }
 
-func (e *callerGoneError) Error() string { return "caller is gone: " + e.Cause.Error() }
+func (e *callerGoneError) Error() string { return "caller disconnected: " + e.Cause.Error() }
 func (e *callerGoneError) Unwrap() error { return e.Cause }
 
-// brokenOffError says that an answer broke off after its head went to the caller.
-type brokenOffError struct{ Cause error }
+// truncatedError is returned if a response failed after its header was sent to the caller.
+type truncatedError struct{ Cause error }
 
-func (e *brokenOffError) Error() string { return "answer broke off: " + e.Cause.Error() }
-func (e *brokenOffError) Unwrap() error { return e.Cause }
+func (e *truncatedError) Error() string { return "response truncated: " + e.Cause.Error() }
+func (e *truncatedError) Unwrap() error { return e.Cause }
 
-// unavailableError says that the servers which could take a request are limited or back off.
+// unavailableError is returned if all servers that could take the request are rate limited or back
+// off.
 type unavailableError struct{ balancer.Availability }
 
 func (e *unavailableError) Error() string {
@@ -67,12 +69,12 @@
 
 func (e *unavailableError) Unwrap() error { return errNoServer }
 
-// notRunError says that a server told that it did not run the request.
-type notRunError struct {
+// notExecutedError is returned if a server stated that it did not run the request.
+type notExecutedError struct {
 	Server string
 	Status int
 }
 
-func (e *notRunError) Error() string {
+func (e *notExecutedError) Error() string {
 	return fmt.Sprintf("server %s did not run the request (status %d)", e.Server, e.Status)
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -22,126 +22,127 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// Limits are the gateway's own limits.
+// Limits are the limits of a gateway.
 type Limits struct {
-	// MaxRequests and Held bound the requests in progress and the bytes of their
-	// bodies.
+	// MaxRequests and MaxHeldBytes limit the requests in progress and the memory held by their
+	// bodies and buffered responses.
 	MaxRequests  int64
 	MaxHeldBytes int64
-	// LostServerGrace is how long a server that the list has lost may still get work while
-	// its service has no other.
+	// LostServerGrace is how long a server that has disappeared from the server list still gets
+	// requests while its service has no other.
 	LostServerGrace time.Duration
-	// MaxDenialTableAge is how old the table may be to deny a caller: beyond it an unknown
-	// route or key may be one that this box has not heard of.
+	// MaxDenialTableAge is the age of the routing table up to which unknown routes and API keys are
+	// denied for good. An older table may lack them.
 	MaxDenialTableAge time.Duration
 }
 
-// Deps are what the gateway is built on.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	Protocol  Protocol
 	Directory *directory.Directory
 	Balancer  *balancer.Balancer
 	Budget    *retry.Budget
 	Upstream  *upstream.Client
-	// Quarantine knows the requests of which servers crash.
+	// Quarantine identifies requests that crash servers.
 	Quarantine Quarantine
 	Recorder   Recorder
-	// Usage counts requests that begin to run.
+	// Usage counts started requests.
 	Usage  Usage
 	Logger log.Logger
 	Hall   string
-	// RegionOf tells the region of a hall, "" for none.
+	// RegionOf returns the region of a hall, or "" if it has none.
 	RegionOf func(hall string) string
 	Limits   Limits
-	// Shutdown returns the planned stop that is under way, or nil.
+	// Shutdown returns the planned shutdown in progress, or nil.
 	Shutdown func() *Shutdown
 }
 
-// Shutdown is a planned stop. Requests that arrive late in it are told to come back, as
-// they could not end in time.
+// Shutdown describes a planned shutdown. Requests that may not finish before its deadline are
+// refused.
 type Shutdown struct {
-	// RefuseStreamsAfter is when new streams are not begun any more.
+	// RefuseStreamsAfter is the time from which on new streams are refused.
 	RefuseStreamsAfter time.Time
-	// Deadline is when the box ends.
+	// Deadline is when the process exits.
 	Deadline time.Time
 }
 
-// Gateway answers callers.
+// Gateway is the HTTP handler for callers' requests.
 type Gateway struct {
 	Deps
-	// ending ends when all requests have to be given up.
-	ending  context.Context
-	giveUp  context.CancelFunc
-	running atomic.Int64
-	held    atomic.Int64
-	outages outages
-	queues  queues
-	started time.Time
+	// shutdownCtx is canceled when all requests in progress must end.
+	shutdownCtx       context.Context
+	cancelShutdownCtx context.CancelFunc
+	inFlight          atomic.Int64
+	heldBytes         atomic.Int64
+	outages           outages
+	queues            queues
+	started           time.Time
 
 	activeMu sync.Mutex
-	// active are the requests that may be at a server, and what gives each up.
+	// active maps the requests in progress to their cancel functions.
 	active map[*exchange]context.CancelCauseFunc
 }
 
 // New returns a gateway.
 func New(d Deps) *Gateway {
 	g := &Gateway{Deps: d, started: clock.Now(), active: make(map[*exchange]context.CancelCauseFunc)}
-	g.ending, g.giveUp = context.WithCancel(context.Background())
+	g.shutdownCtx, g.cancelShutdownCtx = context.WithCancel(context.Background())
 	return g
 }
 
-// CancelAll ends all requests in progress, each with an answer, as the box ends.
-func (g *Gateway) CancelAll() { g.giveUp() }
+// CancelAll cancels all requests in progress at shutdown. Each still gets a response.
+func (g *Gateway) CancelAll() { g.cancelShutdownCtx() }
 
 // InProgress returns the number of requests in progress.
-func (g *Gateway) InProgress() int { return int(g.running.Load()) }
+func (g *Gateway) InProgress() int { return int(g.inFlight.Load()) }
 
-// Times to come back after, for refusals of the box itself.
+// Retry-After values of refusals by the box itself.
 const (
-	afterNotReady = 400 * time.Millisecond
-	notReadyMost  = 5 * time.Second
-	afterBusy     = 500 * time.Millisecond
-	afterStop     = 20 * time.Millisecond
+	notReadyRetryAfter    = 400 * time.Millisecond
+	maxNotReadyRetryAfter = 5 * time.Second
+	overloadRetryAfter    = 500 * time.Millisecond
+	shutdownRetryAfter    = 20 * time.Millisecond
 )
 
 const (
-	// tableWaitMost is how long a request waits for the first table: a box whose store answers has it
-	// a second or two after its start. tableWaitPart is the part of the caller's patience that it may
-	// wait, tableWaitLeast for how short a wait it is refused at once.
-	tableWaitMost  = 1500 * time.Millisecond
-	tableWaitPart  = 4
-	tableWaitLeast = 500 * time.Millisecond
-	tableWaitStep  = 10 * time.Millisecond
+	// maxTableWait is the maximum time that a request waits for the first routing table, which a
+	// box normally loads within seconds of its start. A request waits for at most
+	// 1/tableWaitDivisor of its caller's timeout, and is refused at once if that is less than
+	// minTableWait.
+	maxTableWait      = 1500 * time.Millisecond
+	tableWaitDivisor  = 4
+	minTableWait      = 500 * time.Millisecond
+	tablePollInterval = 10 * time.Millisecond
 )
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer g.running.Add(-1)
-	busy := g.running.Add(1) > g.Limits.MaxRequests
+	defer g.inFlight.Add(-1)
+	overloaded := g.inFlight.Add(1) > g.Limits.MaxRequests
 	x := &exchange{gateway: g, writer: w, request: r, arrival: clock.Now(), view: g.Directory.View()}
-	if x.stop = g.Shutdown(); x.stop != nil {
+	if x.shutdown = g.Shutdown(); x.shutdown != nil {
 		w.Header().Set("Connection", "close")
 	}
 	var err error
-	if busy {
-		err = &RefusedError{Reason: "the box holds as many requests as it may", RetryAfter: afterBusy}
+	if overloaded {
+		err = &RefusedError{Reason: "the box holds as many requests as it may", RetryAfter: overloadRetryAfter}
 	} else {
 		err = x.serve()
 	}
-	g.held.Add(-int64(len(x.body)) - x.reserved)
-	x.close(err)
+	g.heldBytes.Add(-int64(len(x.body)) - x.reservedBytes)
+	x.finish(err)
 }
 
-// exchange is one request on its way. One goroutine works on it.
+// exchange is the state of one request. It is used by one goroutine.
 type exchange struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
 	request *http.Request
 	arrival time.Time
 	view    *directory.View
-	// reserved is how many bytes of answers are held until the request ends.
-	reserved int64
-	stop     *Shutdown
+	// reservedBytes is the memory reserved for buffered responses until the request ends.
+	reservedBytes int64
+	shutdown      *Shutdown
 
 	call         Call
 	body         []byte
@@ -150,73 +151,73 @@
 	organisation *routing.Organisation
 	deadline     time.Time
 
-	// sent is when the latest attempt began.
-	sent time.Time
-	// servers were sent the request, in order; unreachedServers were not, as no
-	// connection came up.
-	servers          []routing.Life
-	unreachedServers []routing.Life
-	// counted is set once the request counts as one that began to run.
-	counted bool
+	// attemptStart is the start of the latest attempt.
+	attemptStart time.Time
+	// attempted lists the servers that received the request, in order. unreachable lists those that
+	// did not, as the connection failed or another server had their address.
+	attempted   []routing.Life
+	unreachable []routing.Life
+	// usageCounted is set once the request was counted as started.
+	usageCounted bool
 	// mayHaveRun is set once a server may have run the request.
 	mayHaveRun bool
-	// expectedWait is how long the engines had work before the request as it was admitted.
+	// expectedWait is the queueing time at the engines estimated at admission.
 	expectedWait time.Duration
-	// keepPlaces says that more urgent requests come, for which places are kept.
-	keepPlaces bool
-	// trial says that the request is held, and tried once by this box.
-	trial bool
-	// queueing says that the request waits for servers which are limited or back off.
-	queueing bool
-	// begun is set once the head of the answer went to the caller.
-	begun  bool
-	status int
-	// firstEvent and latestEvent are when events were passed on, longestPause is the
-	// longest time between two.
-	firstEvent   time.Time
-	latestEvent  time.Time
-	longestPause time.Duration
-	events       int
-	lastEvent    string
+	// reservePlaces is set if more urgent requests arrive, for which places are reserved.
+	reservePlaces bool
+	// quarantineTrial is set if the request is quarantined and this attempt is its trial.
+	quarantineTrial bool
+	// queued is set while the request waits for servers that are rate limited or back off.
+	queued bool
+	// headSent is set once the response header was sent to the caller.
+	headSent bool
+	status   int
+	// firstEventTime and lastEventTime are when the first and the latest events were forwarded.
+	// maxEventGap is the longest time between two.
+	firstEventTime time.Time
+	lastEventTime  time.Time
+	maxEventGap    time.Duration
+	eventCount     int
+	lastEventID    string
 }
 
 func (x *exchange) serve() error {
-	for _, step := range []func() error{x.readCall, x.findRoute, x.identify, x.checkRegions, x.checkStop, x.readBody} {
+	for _, step := range []func() error{x.readCall, x.findRoute, x.authenticate, x.checkRegions, x.checkShutdown, x.readBody} {
 		if err := step(); err != nil {
 			return err
 		}
 	}
 	ctx, cancel := context.WithTimeoutCause(x.request.Context(), clock.Until(x.deadline), errTimeout)
 	defer cancel()
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	defer context.AfterFunc(x.gateway.ending, func() { giveUp(errEnding) })()
-	defer x.gateway.enter(x, giveUp)()
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	defer cancelCause(nil)
+	defer context.AfterFunc(x.gateway.shutdownCtx, func() { cancelCause(errShuttingDown) })()
+	defer x.gateway.registerActive(x, cancelCause)()
 	x.gateway.Budget.Request(x.service.Name, x.arrival)
-	defer x.stopQueueing()
+	defer x.dequeue()
 	return x.run(ctx)
 }
 
-// Why the box gives a request up.
+// Causes for which the box cancels a request.
 var (
-	errTimeout = errors.New("the time of the request is over")
-	errEnding  = errors.New("the box ends and can't wait any longer")
+	errTimeout      = errors.New("the time of the request is over")
+	errShuttingDown = errors.New("the box ends and can't wait any longer")
 )
 
 func (x *exchange) readCall() (err error) {
 	x.call, err = x.gateway.Protocol.ReadCall(x.request)
-	x.lastEvent = x.call.LastEventID
+	x.lastEventID = x.call.LastEventID
 	return err
 }
 
-// findRoute looks the route up, and what follows from it.
+// findRoute matches the request to a route and sets its service and deadline.
 func (x *exchange) findRoute() error {
 	if x.view.Table == nil {
-		x.awaitTable()
+		x.waitForTable()
 	}
 	table := x.view.Table
 	if table == nil {
-		return &RefusedError{Reason: "no routing table is known yet", RetryAfter: x.untilTable()}
+		return &RefusedError{Reason: "no routing table is known yet", RetryAfter: x.tableRetryAfter()}
 	}
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
 	route, ok := table.Match(x.request.Host, path)
@@ -235,34 +236,34 @@
 	return nil
 }
 
-// awaitTable lets a request wait at a box that has just started and is about to have its table. Where
-// all boxes start at once a caller that is refused comes back to one that has none either.
-func (x *exchange) awaitTable() {
-	wait := min(tableWaitMost, x.call.Timeout/tableWaitPart)
-	if wait < tableWaitLeast {
+// waitForTable waits for the first routing table at a box that has just started. When all boxes
+// start at the same time, a refused caller would only reach another box without a table.
+func (x *exchange) waitForTable() {
+	wait := min(maxTableWait, x.call.Timeout/tableWaitDivisor)
+	if wait < minTableWait {
 		return
 	}
 	ctx := x.request.Context()
 	for end := x.arrival.Add(wait); clock.Now().Before(end) && ctx.Err() == nil && !x.gateway.Directory.TableFails(); {
-		pause.For(ctx, tableWaitStep)
+		pause.For(ctx, tablePollInterval)
 		if x.view = x.gateway.Directory.View(); x.view.Table != nil {
 			return
 		}
 	}
 }
 
-// untilTable is when to come back to a box that has just started: as long as it has
-// been up, as nothing else tells how long the store will be away.
-func (x *exchange) untilTable() time.Duration {
-	after := max(x.arrival.Sub(x.gateway.started), afterNotReady)
+// tableRetryAfter returns the Retry-After of a box without a routing table: the box's uptime, so
+// that callers retry less often the longer the store is unavailable.
+func (x *exchange) tableRetryAfter() time.Duration {
+	retryAfter := max(x.arrival.Sub(x.gateway.started), notReadyRetryAfter)
 	if x.call.Timeout > 0 {
-		after = min(after, x.call.Timeout/stayAwayMost)
+		retryAfter = min(retryAfter, x.call.Timeout/retryAfterDivisor)
 	}
-	return min(after, notReadyMost)
+	return min(retryAfter, maxNotReadyRetryAfter)
 }
 
-// identify finds out whose request it is.
-func (x *exchange) identify() error {
+// authenticate sets the organisation of the request from its API key.
+func (x *exchange) authenticate() error {
 	if !x.view.Table.NeedsKey(x.route) {
 		return nil
 	}
@@ -274,43 +275,42 @@
 	return nil
 }
 
-// deny turns a caller away for good, unless the belief is too old for that.
+// deny rejects the request, or refuses it for now if the routing table is too old to decide.
 func (x *exchange) deny(status int, message string) error {
 	if x.view.TableAge(x.arrival) > x.gateway.Limits.MaxDenialTableAge {
-		return &RefusedError{Reason: "the routing table is too old to deny: " + message, RetryAfter: afterNotReady}
+		return &RefusedError{Reason: "the routing table is too old to deny: " + message, RetryAfter: notReadyRetryAfter}
 	}
 	return &CallError{Status: status, Message: message}
 }
 
-// checkStop refuses what could not end before the box does.
-func (x *exchange) checkStop() error {
-	if x.stop == nil {
+// checkShutdown refuses requests that may not finish before the box exits.
+func (x *exchange) checkShutdown() error {
+	if x.shutdown == nil {
 		return nil
 	}
 	stream := x.route.Kind == routing.KindStream
-	if stream && x.arrival.After(x.stop.RefuseStreamsAfter) || !stream && x.deadline.After(x.stop.Deadline) {
-		return &RefusedError{Reason: "the box is about to stop", RetryAfter: afterStop}
+	if stream && x.arrival.After(x.shutdown.RefuseStreamsAfter) || !stream && x.deadline.After(x.shutdown.Deadline) {
+		return &RefusedError{Reason: "the box is about to stop", RetryAfter: shutdownRetryAfter}
 	}
 	return nil
 }
 
-// readBody reads the whole body, within the bounds on its size and on what the box
-// holds.
+// readBody reads the body within the limits on its size and on the memory of the box.
 func (x *exchange) readBody() error {
 	g := x.gateway
-	most := int64(x.view.Table.Limits.BodyBytes)
-	if x.request.ContentLength > most {
+	maxBody := int64(x.view.Table.Limits.BodyBytes)
+	if x.request.ContentLength > maxBody {
 		return &CallError{Status: http.StatusRequestEntityTooLarge, Message: "the body is larger than the configuration allows: shorten it"}
 	}
-	if g.held.Load()+max(0, x.request.ContentLength) > g.Limits.MaxHeldBytes {
-		return &RefusedError{Reason: "the box holds as many bytes as it may", RetryAfter: afterBusy}
+	if g.heldBytes.Load()+max(0, x.request.ContentLength) > g.Limits.MaxHeldBytes {
+		return &RefusedError{Reason: "the box holds as many bytes as it may", RetryAfter: overloadRetryAfter}
 	}
 	if x.request.ContentLength == 0 {
 		return nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, maxBody))
 	x.body = body
-	g.held.Add(int64(len(body)))
+	g.heldBytes.Add(int64(len(body)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &CallError{Status: http.StatusRequestEntityTooLarge, Message: "the body is larger than the configuration allows: shorten it"}
--- a/pkg/gateway/held.go
+++ b/pkg/gateway/held.go
@@ -5,38 +5,36 @@
 	"io"
 )
 
-// An answer that is held until it is whole is read in steps as long as what is there, within these
-// bounds: most answers have some hundred bytes.
+// minReadStep and maxReadStep limit the memory reserved per read of a buffered response. Each step
+// doubles the buffer within them, as most responses have some hundred bytes.
 const (
-	holdStepLeast = 1 << 10
-	holdStepMost  = 64 << 10
+	minReadStep = 1 << 10
+	maxReadStep = 64 << 10
 )
 
-// reserve takes room for bytes that are held for a caller; false if the box may hold no more. Callers
-// that read slowly would else take memory without bound: a thousand of them, with answers of
-// answerMost each, 512 MB.
+// reserve reserves n bytes for a caller and reports whether the box's limit allows it. Without it,
+// callers that read slowly could make the box run out of memory.
 func (g *Gateway) reserve(n int64) bool {
-	if g.held.Add(n) <= g.Limits.MaxHeldBytes {
+	if g.heldBytes.Add(n) <= g.Limits.MaxHeldBytes {
 		return true
 	}
-	g.held.Add(-n)
+	g.heldBytes.Add(-n)
 	return false
 }
 
-// HeldBytes is how many bytes the box holds for callers: bodies of requests, and answers until they are
-// passed on.
-func (g *Gateway) HeldBytes() int64 { return g.held.Load() }
+// HeldBytes returns the memory held for callers: request bodies and buffered responses.
+func (g *Gateway) HeldBytes() int64 { return g.heldBytes.Load() }
 
-// hold reads an answer into room that is reserved for it until the request ends. It returns false
-// with what was read where the answer is too long, or no room is left.
-func (x *exchange) hold(answer io.Reader) (body []byte, complete bool, err error) {
-	for len(body) <= answerMost {
-		step := min(max(len(body), holdStepLeast), holdStepMost)
+// bufferResponse reads a response into memory that stays reserved until the request ends. It
+// returns the part read and false if the response is too long or the box has no memory left.
+func (x *exchange) bufferResponse(r io.Reader) (body []byte, complete bool, err error) {
+	for len(body) <= maxBufferedBytes {
+		step := min(max(len(body), minReadStep), maxReadStep)
 		if !x.gateway.reserve(int64(step)) {
 			return body, false, nil
 		}
-		x.reserved += int64(step)
-		body, err = appendSome(body, answer, step)
+		x.reservedBytes += int64(step)
+		body, err = readAppend(body, r, step)
 		switch {
 		case errors.Is(err, io.EOF):
 			return body, true, nil
@@ -47,17 +45,17 @@
 	return body, false, nil
 }
 
-// appendSome appends up to n bytes of a reader, fewer only with the error that ended it. io.ReadFull
-// would tell an answer that breaks off as one that ends.
-func appendSome(to []byte, from io.Reader, n int) ([]byte, error) {
-	begin := len(to)
-	to = append(to, make([]byte, n)...)
+// readAppend appends n bytes of a reader to a slice, or fewer and the read error. It does not use
+// io.ReadFull, which can't distinguish a truncated response from a complete one.
+func readAppend(buf []byte, r io.Reader, n int) ([]byte, error) {
+	start := len(buf)
+	buf = append(buf, make([]byte, n)...)
 	for read := 0; read < n; {
-		more, err := from.Read(to[begin+read:])
-		read += more
+		m, err := r.Read(buf[start+read:])
+		read += m
 		if err != nil {
-			return to[:begin+read], err
+			return buf[:start+read], err
 		}
 	}
-	return to, nil
+	return buf, nil
 }
--- a/pkg/gateway/held_test.go
+++ b/pkg/gateway/held_test.go
@@ -12,50 +12,52 @@
 	"pgregory.net/rapid"
 )
 
-// What is held of answers stays within the bound, however many are held at once, and is given back.
+// Buffered responses must stay within MaxHeldBytes under concurrency, and their memory must be
+// released.
 func TestHeldAnswersAreBounded(t *testing.T) {
-	const most = 1 << 20
-	g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: most}}}
+	const maxHeldBytes = 1 << 20
+	g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: maxHeldBytes}}}
 	var wg conc.WaitGroup
 	for range 1000 {
 		wg.Go(func() {
 			x := &exchange{gateway: g}
-			_, _, err := x.hold(strings.NewReader(strings.Repeat("x", answerMost)))
+			_, _, err := x.bufferResponse(strings.NewReader(strings.Repeat("x", maxBufferedBytes)))
 			assert.NoError(t, err)
-			assert.LessOrEqual(t, g.HeldBytes(), int64(most+1000*holdStepMost), "a refused step is given back at once")
-			g.held.Add(-x.reserved)
+			assert.LessOrEqual(t, g.HeldBytes(), int64(maxHeldBytes+1000*maxReadStep), "a refused reservation must be released at once")
+			g.heldBytes.Add(-x.reservedBytes)
 		})
 	}
 	wg.Wait()
 	assert.Zero(t, g.HeldBytes())
 }
 
-// Whatever way an answer comes, what is held is what was sent; complete only where all of it is there.
+// A buffered response must be a prefix of what was sent, and be reported complete only if all of it
+// was read.
 func TestHeldAnswerIsWhatWasSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sent := bytes.Repeat([]byte("0123456789abcdef"), rapid.IntRange(0, 3*answerMost/32).Draw(t, "sixteens"))
-		g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: int64(rapid.IntRange(0, 2*answerMost).Draw(t, "room"))}}}
-		broken := rapid.Bool().Draw(t, "broken")
-		var from io.Reader = bytes.NewReader(sent)
-		if broken {
-			from = io.MultiReader(from, iotest.ErrReader(io.ErrUnexpectedEOF))
+		sent := bytes.Repeat([]byte("0123456789abcdef"), rapid.IntRange(0, 3*maxBufferedBytes/32).Draw(t, "16-byte blocks"))
+		g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: int64(rapid.IntRange(0, 2*maxBufferedBytes).Draw(t, "max held bytes"))}}}
+		truncated := rapid.Bool().Draw(t, "truncated")
+		var reader io.Reader = bytes.NewReader(sent)
+		if truncated {
+			reader = io.MultiReader(reader, iotest.ErrReader(io.ErrUnexpectedEOF))
 		}
-		if rapid.Bool().Draw(t, "in halves") {
-			from = iotest.HalfReader(from)
+		if rapid.Bool().Draw(t, "half reads") {
+			reader = iotest.HalfReader(reader)
 		}
 		x := &exchange{gateway: g}
-		body, complete, err := x.hold(from)
+		body, complete, err := x.bufferResponse(reader)
 		if !bytes.HasPrefix(sent, body) {
-			t.Fatalf("%d bytes are held of %d others", len(body), len(sent))
+			t.Fatalf("buffered %d bytes are no prefix of the %d bytes sent", len(body), len(sent))
 		}
-		if complete && (broken || len(body) != len(sent)) {
-			t.Fatalf("%d of %d bytes look whole, broken %t", len(body), len(sent), broken)
+		if complete && (truncated || len(body) != len(sent)) {
+			t.Fatalf("%d of %d bytes reported complete, truncated: %t", len(body), len(sent), truncated)
 		}
-		if !complete && err == nil && len(body) <= answerMost && x.reserved+holdStepMost <= g.Limits.MaxHeldBytes {
-			t.Fatal("it is not complete though there is room")
+		if !complete && err == nil && len(body) <= maxBufferedBytes && x.reservedBytes+maxReadStep <= g.Limits.MaxHeldBytes {
+			t.Fatal("response reported incomplete below both limits")
 		}
-		if x.reserved > g.Limits.MaxHeldBytes {
-			t.Fatalf("%d bytes are reserved of %d", x.reserved, g.Limits.MaxHeldBytes)
+		if x.reservedBytes > g.Limits.MaxHeldBytes {
+			t.Fatalf("%d bytes reserved, limit %d", x.reservedBytes, g.Limits.MaxHeldBytes)
 		}
 	})
 }
--- a/pkg/gateway/outage.go
+++ b/pkg/gateway/outage.go
@@ -12,83 +12,82 @@
 )
 
 const (
-	// awaitCheck is how often a request that waits looks for a server.
-	awaitCheck = 40 * time.Millisecond
-	// waitShare is the part of its time that a request waits for a server before its
-	// caller is told to come back. Whether callers come back at all, a box can't know; with
-	// two thirds of its time left an answer is still of use.
-	waitShare = 1.0 / 3
-	// stayAwayMost is the part of its time that a caller stays away at the most, as a
-	// divisor: one that comes back later has hardly time for an answer.
-	stayAwayMost = 3
-	// afterNoServer is when callers come back at the soonest.
-	afterNoServer = 300 * time.Millisecond
+	// serverPollInterval is how often a waiting request looks for a server.
+	serverPollInterval = 40 * time.Millisecond
+	// serverWaitShare is the share of its total time that a request waits for a server before it is
+	// refused. The box can't know whether callers retry, and the rest of the time still allows a
+	// useful response.
+	serverWaitShare = 1.0 / 3
+	// retryAfterDivisor limits Retry-After to this fraction of the request's time, so that a retry
+	// has time for a response.
+	retryAfterDivisor   = 3
+	minOutageRetryAfter = 300 * time.Millisecond
 )
 
-// outages tells since when services have had no server that could be reached.
+// outages records the start of the current outage of each service, in which no server could be
+// reached.
 type outages struct {
 	mu    sync.Mutex
 	since map[string]time.Time
 }
 
-// age is how long the outage of a service has lasted; it begins one if there is
-// none.
+// age returns how long the outage of a service has lasted, and records its start if there is none.
 func (o *outages) age(service string, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.since == nil {
 		o.since = make(map[string]time.Time)
 	}
-	begun, ok := o.since[service]
+	start, ok := o.since[service]
 	if !ok {
 		o.since[service] = now
 		return 0
 	}
-	return now.Sub(begun)
+	return now.Sub(start)
 }
 
-// end says that a server of the service was reached.
-func (o *outages) end(service string) {
+// resolve ends the outage of a service, as one of its servers was reached.
+func (o *outages) resolve(service string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.since, service)
 }
 
-// awaitServer waits a moment for a server that can be reached, or gives the request
-// up once it has waited for its part of the caller's time.
-func (x *exchange) awaitServer(ctx context.Context, f *failure) error {
+// waitForServer waits before the next attempt to find a server, or refuses the request once it has
+// waited for its share of the caller's time.
+func (x *exchange) waitForServer(ctx context.Context, f *failure) error {
 	var unavailable *unavailableError
 	if errors.As(f.cause, &unavailable) {
-		return x.awaitAvailable(ctx, f, unavailable.Availability)
+		return x.waitForAvailability(ctx, f, unavailable.Availability)
 	}
-	x.stopQueueing()
+	x.dequeue()
 	now := clock.Now()
 	age := x.gateway.outages.age(x.service.Name, now)
-	if !now.Before(x.awaitEnd()) {
-		return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.stayAway(age, now)}
+	if !now.Before(x.waitDeadline()) {
+		return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.outageRetryAfter(age, now)}
 	}
-	return x.lookAgain(ctx, f)
+	return x.pollAgain(ctx, f)
 }
 
-// lookAgain waits a moment before the request looks for a server again, also among those that could not be
-// reached.
-func (x *exchange) lookAgain(ctx context.Context, f *failure) error {
-	pause.For(ctx, awaitCheck)
+// pollAgain sleeps until the next attempt to find a server, which may again try those that could
+// not be reached.
+func (x *exchange) pollAgain(ctx context.Context, f *failure) error {
+	pause.For(ctx, serverPollInterval)
 	if ctx.Err() != nil {
-		return x.over(ctx, f)
+		return x.contextError(ctx, f)
 	}
-	x.unreachedServers = nil
+	x.unreachable = nil
 	return nil
 }
 
-func (x *exchange) awaitEnd() time.Time {
-	whole := x.deadline.Sub(x.arrival)
-	return x.arrival.Add(time.Duration(waitShare * float64(whole)))
+func (x *exchange) waitDeadline() time.Time {
+	total := x.deadline.Sub(x.arrival)
+	return x.arrival.Add(time.Duration(serverWaitShare * float64(total)))
 }
 
-// stayAway is when to come back in an outage: as long as it has lasted so far, as
-// nothing else tells how long it will.
-func (x *exchange) stayAway(age time.Duration, now time.Time) time.Duration {
-	after := max(age, afterNoServer)
-	return min(after+rand.N(after/8+1), x.deadline.Sub(now)/stayAwayMost)
+// outageRetryAfter returns the Retry-After in an outage: its age so far, so that callers retry less
+// often the longer it lasts, within bounds and with jitter.
+func (x *exchange) outageRetryAfter(age time.Duration, now time.Time) time.Duration {
+	retryAfter := max(age, minOutageRetryAfter)
+	return min(retryAfter+rand.N(retryAfter/8+1), x.deadline.Sub(now)/retryAfterDivisor)
 }
--- a/pkg/gateway/outage_test.go
+++ b/pkg/gateway/outage_test.go
@@ -9,15 +9,15 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// A box can't see whether a caller was refused before, nor whether it will come back: how
-// long its request waits follows from its own time only, not from its route's.
-func TestWaitForAServerFollowsFromTheCallersTime(t *testing.T) {
+// How long a request waits must depend on the caller's timeout only, not on the timeout of the
+// route.
+func TestWaitDeadlineDependsOnCallerTimeout(t *testing.T) {
 	arrival := time.Now()
 	for _, timeout := range []time.Duration{6 * time.Second, 7 * time.Second, time.Minute} {
 		x := &exchange{
 			arrival: arrival, deadline: arrival.Add(6 * time.Second),
 			route: &routing.Route{Timeout: timeout, FirstTarget: time.Second},
 		}
-		assert.Equal(t, arrival.Add(2*time.Second), x.awaitEnd(), "route's time %s", timeout)
+		assert.Equal(t, arrival.Add(2*time.Second), x.waitDeadline(), "route timeout %s", timeout)
 	}
 }
--- a/pkg/gateway/protocol.go
+++ b/pkg/gateway/protocol.go
@@ -9,60 +9,58 @@
 	"headhill.example/headhill/pkg/signals"
 )
 
-// Call is what a caller asks, in the product's own terms.
+// Call is the content of a request's headers, independent of their format.
 type Call struct {
 	ID string
-	// Key is the caller's API key, "" if it shows none.
+	// Key is the caller's API key, or "".
 	Key string
-	// Timeout is how long the caller waits; zero if it does not say.
+	// Timeout is how long the caller waits, or zero if unknown.
 	Timeout time.Duration
-	// LastEventID is the ID of the last event that the caller has, "" for none.
+	// LastEventID is the ID of the last event that the caller has received, or "".
 	LastEventID  string
 	PromptTokens int
 	OutputTokens int
-	// Parts are those of the prompt; the last one is the call's own.
+	// Parts are the parts of the prompt; the last one is unique to this call.
 	Parts []balancer.Part
 }
 
-// Attempt is one sending of a call to a server.
+// Attempt describes an attempt to send a call to a server.
 type Attempt struct {
 	Call         *Call
 	Server       routing.Server
 	Organisation string
-	// Rank is the urgency, 0 to routing.RankMost; it is told to engines only.
+	// Rank is the urgency, from 0 (most urgent) to routing.RankMost. It is sent to engines only.
 	Rank   int
 	Engine bool
-	// RemainingTime is the time that the server has.
+	// RemainingTime is the time until the deadline of the request.
 	RemainingTime time.Duration
-	// LastEventID is the last event that the caller has by now.
+	// LastEventID is the ID of the last event that was forwarded to the caller.
 	LastEventID string
-	// PrefixSource is the address of a server from which this one can take what it lacks of
-	// the prompt, "" for none.
+	// PrefixSource is the address of a server from which this one can fetch missing parts of the
+	// prompt's prefix, or "".
 	PrefixSource string
 }
 
-// ResponseInfo is what the head of a server's answer says beside its status.
+// ResponseInfo is the content of a response header beside its status.
 type ResponseInfo struct {
-	// NotExecuted: the server says that it did not run the request.
+	// NotExecuted is set if the server states that it did not run the request.
 	NotExecuted bool
-	// ServerReplaced: the server that was meant is gone, another one has its address.
+	// ServerReplaced is set if another server has taken over the address of the intended one.
 	ServerReplaced bool
-	// Signals are those of the server.
-	Signals signals.Signals
+	Signals        signals.Signals
 }
 
-// Protocol translates between the product's terms and the headers of callers and
-// servers. It decides nothing.
+// Protocol maps between the gateway's types and the headers of callers and servers.
 type Protocol interface {
-	// ReadCall reads a call from a request's headers. The error is a *CallError.
+	// ReadCall parses the headers of a request. The error is a *CallError.
 	ReadCall(r *http.Request) (Call, error)
-	// RequestHeader are the headers of an attempt: the caller's own, less those of its
-	// connection and those that the system sets, and with the attempt's.
+	// RequestHeader returns the headers of an attempt: the caller's end-to-end headers without
+	// those reserved for the system, and the headers of the attempt.
 	RequestHeader(caller http.Header, a Attempt) http.Header
-	// ParseResponse reads the head of an answer.
+	// ParseResponse parses a response header.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// MatchesResponse tells whether the head of an answer names the call.
+	// MatchesResponse reports whether a response header belongs to the call.
 	MatchesResponse(c *Call, h http.Header) bool
-	// SetRetryAfter writes when to come back into the head of a refusal.
-	SetRetryAfter(h http.Header, after time.Duration)
+	// SetRetryAfter sets the Retry-After of a refusal.
+	SetRetryAfter(h http.Header, retryAfter time.Duration)
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -18,39 +18,40 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// Quarantine knows the requests under which servers ended.
+// Quarantine tracks requests during which servers crashed.
 type Quarantine interface {
-	// Suspects tells whether a request may be known.
+	// Suspects reports whether the request may be tracked. False positives are possible.
 	Suspects(*quarantine.Request) bool
 	Judge(quarantine.Fingerprint) quarantine.Verdict
 	NoteEnd(f quarantine.Fingerprint, life quarantine.Life, at time.Time)
 	NoteSound(quarantine.Fingerprint)
-	// BeginTrial returns whether this box may try a held request now.
+	// BeginTrial reports whether this box may send a quarantined request to a server now.
 	BeginTrial(ctx context.Context, f quarantine.Fingerprint, now time.Time) bool
 }
 
 const (
-	// probeWait is how long a request waits to learn whether the server that broke off under
-	// it has ended. A machine that runs refuses a connection within a round trip; what comes
-	// later counts for the next request.
-	probeWait = 50 * time.Millisecond
-	// heldLeast and heldMost bound when a caller comes back for a request that is held; the
-	// longest stands where only an operator releases it.
-	heldLeast = time.Second
-	heldMost  = time.Hour
-	// standBackFrom is how many servers have ended under a request that waits before its next
-	// one, also where another box sent it to those. After a first end most requests are harmless,
-	// and go on at once.
-	standBackFrom = 2
-	// arrivalLeast is how long it waits at the least where it has just arrived: its copy at another
-	// box goes on after a shorter wait, and is let end before.
-	arrivalLeast = 2 * quarantine.Together
+	// maxProbeWait is how long a request waits for the probe of a server whose connection broke. A
+	// running machine refuses a connection within a round trip; a later result is recorded for the
+	// next request.
+	maxProbeWait = 50 * time.Millisecond
+	// minQuarantineRetryAfter and maxQuarantineRetryAfter limit the Retry-After of a quarantined
+	// request. The maximum is used if only an operator can release the request.
+	minQuarantineRetryAfter = time.Second
+	maxQuarantineRetryAfter = time.Hour
+	// delayFromCrashes is the number of crashed servers, counted over all boxes, from which on a
+	// request is delayed before its next attempt. After a single crash most requests are harmless
+	// and are retried at once.
+	delayFromCrashes = 2
+	// minArrivalDelay is the minimum delay of a suspect request on arrival. It exceeds the delay
+	// before a retry, so that a copy in progress at another box is retried, and its outcome known,
+	// first.
+	minArrivalDelay = 2 * quarantine.Together
 )
 
-var errHeld = errors.New("backend servers crash of this request")
+var errQuarantined = errors.New("backend servers crash of this request")
 
-// identity is what makes another request the same as this one.
-func (x *exchange) identity() quarantine.Request {
+// quarantineRequest returns the properties by which the quarantine identifies the request.
+func (x *exchange) quarantineRequest() quarantine.Request {
 	r := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Target: x.request.RequestURI, Body: x.body}
 	if x.organisation != nil {
 		r.Organisation = x.organisation.Name
@@ -58,9 +59,10 @@
 	return r
 }
 
-// verdict judges the request by what all boxes know of it. Most are not worth a hash.
-func (x *exchange) verdict() (quarantine.Fingerprint, quarantine.Verdict) {
-	r := x.identity()
+// quarantineVerdict returns the fingerprint of the request and the verdict of all boxes on it. Most
+// requests are not suspect and are not hashed.
+func (x *exchange) quarantineVerdict() (quarantine.Fingerprint, quarantine.Verdict) {
+	r := x.quarantineRequest()
 	if !x.gateway.Quarantine.Suspects(&r) {
 		return quarantine.Fingerprint{}, quarantine.Verdict{}
 	}
@@ -68,122 +70,120 @@
 	return f, x.gateway.Quarantine.Judge(f)
 }
 
-// checkHeld refuses a request of which servers crash, unless this box is to try it. A caller may
-// send one again while its last copy is at a server: without the pause that brought a fifth server
-// down in 23 of 80 runs beside load.
-func (x *exchange) checkHeld(ctx context.Context) error {
-	x.standBack(ctx, arrivalLeast+rand.N(quarantine.Together))
-	f, v := x.verdict()
+// checkQuarantine refuses a quarantined request unless this box runs its trial. A suspect request
+// is delayed first, as its caller may resend it while the previous copy is still at a server.
+func (x *exchange) checkQuarantine(ctx context.Context) error {
+	x.delaySuspect(ctx, minArrivalDelay+rand.N(quarantine.Together))
+	f, v := x.quarantineVerdict()
 	if !v.Held {
 		return nil
 	}
 	if x.gateway.Quarantine.BeginTrial(ctx, f, clock.Now()) {
-		x.trial = true
+		x.quarantineTrial = true
 		return nil
 	}
-	return heldError(f, v)
+	return quarantinedError(f, v)
 }
 
-// heldError says why a request is not sent, and when it is tried again.
-func heldError(f quarantine.Fingerprint, v quarantine.Verdict) *RefusedError {
-	after := heldMost
+// quarantinedError returns the error for a quarantined request, with the time of its next trial.
+func quarantinedError(f quarantine.Fingerprint, v quarantine.Verdict) *RefusedError {
+	retryAfter := maxQuarantineRetryAfter
 	if !v.Trial.IsZero() {
-		after = min(max(clock.Until(v.Trial), heldLeast), heldMost)
+		retryAfter = min(max(clock.Until(v.Trial), minQuarantineRetryAfter), maxQuarantineRetryAfter)
 	}
 	return &RefusedError{
 		Reason:     fmt.Sprintf("%d backend servers crashed while they had this request: change it, or ask the operators to look at request %s", v.Ends, f),
-		RetryAfter: after,
+		RetryAfter: retryAfter,
 	}
 }
 
-// mayTryOn tells whether a request whose server broke off may go to another one.
-func (x *exchange) mayTryOn() bool {
-	_, v := x.verdict()
-	return !x.trial && !v.Held
+// quarantineAllowsRetry reports whether a request whose server failed may be sent to another one.
+func (x *exchange) quarantineAllowsRetry() bool {
+	_, v := x.quarantineVerdict()
+	return !x.quarantineTrial && !v.Held
 }
 
-// standBack lets a request under which two servers have ended wait a moment before it goes on: if
-// the next one ends too, it did not end together with the others, and where many servers are
-// ending, this request is not sent among them. A server that ends under a copy meanwhile makes it
-// wait once more, so that copies do not go on side by side.
-func (x *exchange) standBack(ctx context.Context, wait time.Duration) {
-	for ends := standBackFrom; ctx.Err() == nil; {
-		_, v := x.verdict()
-		if v.Held || v.Ends < ends {
+// delaySuspect delays a request during which several servers crashed, so that a further crash can
+// be told from simultaneous crashes with another cause. Each crash reported meanwhile delays it
+// again, so that copies of the request are not sent side by side.
+func (x *exchange) delaySuspect(ctx context.Context, delay time.Duration) {
+	for minCrashes := delayFromCrashes; ctx.Err() == nil; {
+		_, v := x.quarantineVerdict()
+		if v.Held || v.Ends < minCrashes {
 			return
 		}
-		ends = v.Ends + 1
-		pause.For(ctx, wait)
+		minCrashes = v.Ends + 1
+		pause.For(ctx, delay)
 	}
 }
 
-// noteAttempt tells the quarantine how an attempt ended.
-func (x *exchange) noteAttempt(lease *balancer.Lease, result balancer.Result, f *failure, err error) {
+// reportToQuarantine reports the result of an attempt to the quarantine.
+func (x *exchange) reportToQuarantine(lease *balancer.Lease, result balancer.Result, f *failure, err error) {
 	switch {
-	case f == nil && err == nil, f != nil && f.answer != nil && f.answer.status != http.StatusGatewayTimeout:
-		x.noteSound()
-	case f != nil && f.broken && result == balancer.ResultFailed:
-		x.examine(lease)
+	case f == nil && err == nil, f != nil && f.response != nil && f.response.status != http.StatusGatewayTimeout:
+		x.reportSuccess()
+	case f != nil && f.disconnected && result == balancer.ResultFailed:
+		x.probeServer(lease)
 	}
 }
 
-// noteSound notes that a server answered the request whole and lives on.
-func (x *exchange) noteSound() {
-	r := x.identity()
+// reportSuccess reports that a server responded completely and stayed up.
+func (x *exchange) reportSuccess() {
+	r := x.quarantineRequest()
 	if x.gateway.Quarantine.Suspects(&r) {
 		x.gateway.Quarantine.NoteSound(quarantine.FingerprintOf(&r))
 	}
 }
 
-// examine finds out whether a server that broke off has ended under the request. A connection
-// that broke alone says nothing of the request: servers reset and garble some at all times.
-func (x *exchange) examine(lease *balancer.Lease) {
+// probeServer checks whether a server whose connection broke has crashed. A broken connection alone
+// is no evidence against the request, as servers also reset connections for other reasons.
+func (x *exchange) probeServer(lease *balancer.Lease) {
 	probe := x.gateway.Upstream.Probe(lease.Server.Life().String(), lease.Server.Address)
-	r := x.identity()
+	r := x.quarantineRequest()
 	f := quarantine.FingerprintOf(&r)
-	broke := clock.Now()
-	note := func() { x.noteProbe(f, lease, broke, probe.State) }
-	timer := time.NewTimer(probeWait)
+	brokenAt := clock.Now()
+	report := func() { x.reportProbe(f, lease, brokenAt, probe.State) }
+	timer := time.NewTimer(maxProbeWait)
 	defer timer.Stop()
 	select {
 	case <-probe.Done:
-		note()
+		report()
 	case <-timer.C:
 		go func() {
 			<-probe.Done
-			note()
+			report()
 		}()
 	}
 }
 
-// noteProbe takes the answer of a probe in.
-func (x *exchange) noteProbe(f quarantine.Fingerprint, lease *balancer.Lease, broke time.Time, state upstream.State) {
+// reportProbe reports a crash found by a probe to the quarantine.
+func (x *exchange) reportProbe(f quarantine.Fingerprint, lease *balancer.Lease, brokenAt time.Time, state upstream.State) {
 	if state == upstream.StateExited {
-		x.gateway.Quarantine.NoteEnd(f, quarantine.Life(lease.Server.Life().Hash()), broke)
+		x.gateway.Quarantine.NoteEnd(f, quarantine.Life(lease.Server.Life().Hash()), brokenAt)
 	}
-	_ = level.Info(x.gateway.Logger).Log("msg", "server broke off under a request", "id", x.call.ID, "request", f,
+	_ = level.Info(x.gateway.Logger).Log("msg", "connection to server broke during a request", "id", x.call.ID, "request", f,
 		"server", lease.Server.ID, "state", state, "ends", x.gateway.Quarantine.Judge(f).Ends)
 }
 
-// CancelQuarantined ends the requests in progress that are the same as one that is held from now on, before
-// further servers crash of them.
+// CancelQuarantined cancels the requests in progress that match a newly quarantined one, before
+// they crash further servers.
 func (g *Gateway) CancelQuarantined(f quarantine.Fingerprint) {
-	ended := 0
-	for x, giveUp := range g.inProgress() {
-		r := x.identity()
+	canceled := 0
+	for x, cancel := range g.activeExchanges() {
+		r := x.quarantineRequest()
 		if quarantine.OutlineOf(&r) == f.Outline && quarantine.FingerprintOf(&r) == f {
-			giveUp(errHeld)
-			ended++
+			cancel(errQuarantined)
+			canceled++
 		}
 	}
-	_ = level.Info(g.Logger).Log("msg", "requests in progress ended", "request", f, "count", ended, "reason", errHeld)
+	_ = level.Info(g.Logger).Log("msg", "canceled quarantined requests in progress", "request", f, "count", canceled, "reason", errQuarantined)
 }
 
-// enter enters a request among those in progress; the returned function takes it out.
-func (g *Gateway) enter(x *exchange, giveUp context.CancelCauseFunc) (leave func()) {
+// registerActive adds a request to those in progress and returns the function that removes it.
+func (g *Gateway) registerActive(x *exchange, cancel context.CancelCauseFunc) (unregister func()) {
 	g.activeMu.Lock()
 	defer g.activeMu.Unlock()
-	g.active[x] = giveUp
+	g.active[x] = cancel
 	return func() {
 		g.activeMu.Lock()
 		defer g.activeMu.Unlock()
@@ -191,8 +191,8 @@
 	}
 }
 
-// inProgress are the requests in progress, and what gives each up.
-func (g *Gateway) inProgress() map[*exchange]context.CancelCauseFunc {
+// activeExchanges returns the requests in progress with their cancel functions.
+func (g *Gateway) activeExchanges() map[*exchange]context.CancelCauseFunc {
 	g.activeMu.Lock()
 	defer g.activeMu.Unlock()
 	return maps.Clone(g.active)
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -11,39 +11,39 @@
 	"headhill.example/headhill/pkg/quarantine"
 )
 
-// endings is a Quarantine that learns of an end with each judgement, up to some.
-type endings struct {
+// crashingQuarantine reports one more crash with each verdict, up to maxCrashes.
+type crashingQuarantine struct {
 	Quarantine
-	known, most int
-	judged      int
+	crashes, maxCrashes int
+	verdicts            int
 }
 
-func (e *endings) Suspects(*quarantine.Request) bool { return true }
+func (q *crashingQuarantine) Suspects(*quarantine.Request) bool { return true }
 
-func (e *endings) Judge(quarantine.Fingerprint) quarantine.Verdict {
-	e.judged++
-	v := quarantine.Verdict{Ends: e.known}
-	e.known = min(e.known+1, e.most)
+func (q *crashingQuarantine) Judge(quarantine.Fingerprint) quarantine.Verdict {
+	q.verdicts++
+	v := quarantine.Verdict{Ends: q.crashes}
+	q.crashes = min(q.crashes+1, q.maxCrashes)
 	return v
 }
 
-// A request under which servers end stands back as long as further ones do, and no longer.
-func TestSuspectStandsBackWhileServersEnd(t *testing.T) {
+// A suspect request must be delayed again for each further crash, and no longer.
+func TestSuspectRequestIsDelayedPerCrash(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		known, most, want int
+		name                      string
+		crashes, maxCrashes, want int
 	}{
-		{"no server has ended", 0, 0, 1},
-		{"one has", 1, 1, 1},
-		{"two have", 2, 2, 2},
-		{"a third one ends meanwhile", 2, 3, 3},
-		{"two more end meanwhile", 2, 4, 4},
+		{"no crash", 0, 0, 1},
+		{"one crash", 1, 1, 1},
+		{"two crashes", 2, 2, 2},
+		{"third crash during the delay", 2, 3, 3},
+		{"two more crashes during the delay", 2, 4, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q := &endings{known: c.known, most: c.most}
+			q := &crashingQuarantine{crashes: c.crashes, maxCrashes: c.maxCrashes}
 			x := &exchange{gateway: &Gateway{Deps: Deps{Quarantine: q}}, request: httptest.NewRequest("POST", "/deadly", nil)}
-			x.standBack(context.Background(), time.Millisecond)
-			assert.Equal(t, c.want, q.judged)
+			x.delaySuspect(context.Background(), time.Millisecond)
+			assert.Equal(t, c.want, q.verdicts)
 		})
 	}
 }
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	// unreachedMost bounds the servers that could not be reached; those do not
+	// maxUnreachable is the maximum number of unreachable servers that are skipped. They do not
 	// count as attempts, as nothing was sent.
-	unreachedMost = 4
-	// hedgeAfter is how many times its target a repeatable request waits for an
-	// answer before it is sent elsewhere.
-	hedgeAfter = 2
-	hedgeLeast = 250 * time.Millisecond
-	// refusedAfter is when to come back after a server's refusal, before jitter.
-	refusedAfter = 150 * time.Millisecond
+	maxUnreachable = 4
+	// attemptTimeoutTargets is the timeout of an attempt that may be retried, in multiples of the
+	// route's first-event target.
+	attemptTimeoutTargets = 2
+	minAttemptTimeout     = 250 * time.Millisecond
+	// refusalRetryAfter is the Retry-After of a request that servers refused, before jitter.
+	refusalRetryAfter = 150 * time.Millisecond
 )
 
-// failure is why an attempt gave no answer for the caller.
+// failure describes an attempt that produced no response for the caller.
 type failure struct {
 	result balancer.Result
-	// notRun is proved; else the request may have run. Of unsent requests nothing
-	// was written.
-	notRun bool
-	unsent bool
-	// arrived says that the request has to be paid for if it is sent again, though
-	// the server that was meant got nothing of it.
-	arrived bool
-	// broken says that the connection broke while the request may have run.
-	broken bool
-	cause  error
-	// answer is a server's own failure, which is passed on if nothing better comes.
-	answer *wholeAnswer
+	// notExecuted is set if it is proved that the request did not run. notSent is set if nothing of
+	// it was sent to the intended server.
+	notExecuted bool
+	notSent     bool
+	// usesRetryBudget is set if a retry counts against the retry budget although notSent is set, as
+	// another server received the request.
+	usesRetryBudget bool
+	// disconnected is set if the connection broke while the request may have been running.
+	disconnected bool
+	cause        error
+	// response is an error response of the server, forwarded to the caller if no retry succeeds.
+	response *bufferedResponse
 }
 
-// run sends the request until it is answered or nothing more may be tried. It is
-// at one server at a time.
+// run sends the request to one server at a time until it gets a response or no further attempt is
+// allowed.
 func (x *exchange) run(ctx context.Context) error {
-	if err := x.checkHeld(ctx); err != nil {
+	if err := x.checkQuarantine(ctx); err != nil {
 		return err
 	}
 	if err := x.admit(); err != nil {
@@ -61,112 +61,113 @@
 		if f == nil {
 			return err
 		}
-		if !f.notRun {
+		if !f.notExecuted {
 			x.mayHaveRun = true
-			x.noteLostRun()
+			x.recordLostStart()
 		}
 		switch {
 		case ctx.Err() != nil:
-			return x.over(ctx, f)
-		case x.mayRepeat(f):
-			x.standBack(ctx, quarantine.Together)
-			if !x.mayTryOn() {
-				return x.giveUp(f)
+			return x.contextError(ctx, f)
+		case x.mayRetry(f):
+			x.delaySuspect(ctx, quarantine.Together)
+			if !x.quarantineAllowsRetry() {
+				return x.finalError(f)
 			}
-		case f.unsent && !f.arrived && !x.mayHaveRun && !x.begun:
-			if err := x.awaitServer(ctx, f); err != nil {
+		case f.notSent && !f.usesRetryBudget && !x.mayHaveRun && !x.headSent:
+			if err := x.waitForServer(ctx, f); err != nil {
 				return err
 			}
 		default:
-			return x.giveUp(f)
+			return x.finalError(f)
 		}
 	}
 }
 
-// mayRepeat tells whether a request is sent once more after a failure.
-func (x *exchange) mayRepeat(f *failure) bool {
+// mayRetry reports whether the request may be sent again after a failure.
+func (x *exchange) mayRetry(f *failure) bool {
 	if x.mayHaveRun && !x.route.Repeatable() {
 		return false
 	}
-	if x.begun && !x.route.Resumable || !x.mayTryOn() {
+	if x.headSent && !x.route.Resumable || !x.quarantineAllowsRetry() {
 		return false
 	}
-	if f.unsent {
-		return !errors.Is(f.cause, errNoServer) && len(x.unreachedServers) <= unreachedMost && x.pay(f)
+	if f.notSent {
+		return !errors.Is(f.cause, errNoServer) && len(x.unreachable) <= maxUnreachable && x.spendRetry(f)
 	}
-	if len(x.servers) >= x.route.MaxAttempts {
+	if len(x.attempted) >= x.route.MaxAttempts {
 		return false
 	}
 	return x.gateway.Budget.Spend(x.service.Name, clock.Now())
 }
 
-// pay takes a repeat of a request that reached no server from the budget if it
-// arrived somewhere.
-func (x *exchange) pay(f *failure) bool {
-	return !f.arrived || x.gateway.Budget.Spend(x.service.Name, clock.Now())
+// spendRetry charges a retry to the budget if a server received the request.
+func (x *exchange) spendRetry(f *failure) bool {
+	return !f.usesRetryBudget || x.gateway.Budget.Spend(x.service.Name, clock.Now())
 }
 
-// over ends a request whose time is over, whose caller is gone, or whose box ends.
-func (x *exchange) over(ctx context.Context, f *failure) error {
+// contextError returns the error for a request whose context ended: deadline exceeded, caller gone,
+// quarantined or shutdown.
+func (x *exchange) contextError(ctx context.Context, f *failure) error {
 	cause := context.Cause(ctx)
 	switch {
-	case !errors.Is(cause, errTimeout) && !errors.Is(cause, errEnding) && !errors.Is(cause, errHeld):
+	case !errors.Is(cause, errTimeout) && !errors.Is(cause, errShuttingDown) && !errors.Is(cause, errQuarantined):
 		return &callerGoneError{Cause: cause}
-	case x.begun:
-		return &brokenOffError{Cause: cause}
+	case x.headSent:
+		return &truncatedError{Cause: cause}
 	case x.mayHaveRun:
 		return &UnknownError{Timeout: errors.Is(cause, errTimeout), Cause: f.cause}
-	case errors.Is(cause, errHeld):
-		return heldError(x.verdict())
+	case errors.Is(cause, errQuarantined):
+		return quarantinedError(x.quarantineVerdict())
 	}
-	return &RefusedError{Reason: "no server took the request: " + cause.Error(), RetryAfter: jitter(refusedAfter)}
+	return &RefusedError{Reason: "no server took the request: " + cause.Error(), RetryAfter: jitter(refusalRetryAfter)}
 }
 
-// giveUp is the final answer after a failure.
-func (x *exchange) giveUp(f *failure) error {
+// finalError ends the request after a failure that is not retried. It forwards the server's error
+// response if there is one.
+func (x *exchange) finalError(f *failure) error {
 	switch {
-	case x.begun:
-		return &brokenOffError{Cause: f.cause}
-	case f.answer != nil:
-		return x.passOn(f.answer)
+	case x.headSent:
+		return &truncatedError{Cause: f.cause}
+	case f.response != nil:
+		return x.sendBuffered(f.response)
 	case x.mayHaveRun:
 		return &UnknownError{Cause: f.cause}
 	}
-	return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.afterRefusal(clock.Now())}
+	return &RefusedError{Reason: f.cause.Error(), RetryAfter: x.retryAfterRefusal(clock.Now())}
 }
 
-// afterRefusal is when to come back after a server's refusal: soon where others are available, else when
-// one is again.
-func (x *exchange) afterRefusal(now time.Time) time.Duration {
+// retryAfterRefusal returns the Retry-After of a request that servers refused: short if others are
+// available, else the time until one is.
+func (x *exchange) retryAfterRefusal(now time.Time) time.Duration {
 	q := x.query(now)
 	q.Avoid = nil
 	if a := x.gateway.Balancer.Availability(q, now); a.Available == 0 {
-		if wait, known := x.untilAvailable(a, now); known {
-			return x.stayAway(wait, now)
+		if wait, known := x.estimateWait(a, now); known {
+			return x.outageRetryAfter(wait, now)
 		}
 	}
-	return jitter(refusedAfter)
+	return jitter(refusalRetryAfter)
 }
 
-// tried are the servers that this request does not go to again.
-func (x *exchange) tried() []routing.Life {
-	return slices.Concat(x.unreachedServers, x.servers)
+// excludedServers returns the servers that are not tried again.
+func (x *exchange) excludedServers() []routing.Life {
+	return slices.Concat(x.unreachable, x.attempted)
 }
 
 func jitter(d time.Duration) time.Duration { return d + rand.N(d) }
 
-// attempt sends the request to one server. A nil failure means that the request has
-// ended, with the error or with an answer.
+// attempt sends the request to one server. If the returned failure is nil, the request has ended
+// with the returned error or with a response.
 func (x *exchange) attempt(ctx context.Context) (*failure, error) {
 	now := clock.Now()
-	x.sent = now
+	x.attemptStart = now
 	q := x.query(now)
 	lease, ok := x.gateway.Balancer.Pick(q, now)
 	if !ok {
-		return &failure{result: balancer.ResultUnreached, notRun: true, unsent: true, cause: x.noServer(q, now)}, nil
+		return &failure{result: balancer.ResultUnreached, notExecuted: true, notSent: true, cause: x.noServerError(q, now)}, nil
 	}
-	x.stopQueueing()
-	f, err := x.exchangeWith(ctx, lease)
+	x.dequeue()
+	f, err := x.sendWithTimeout(ctx, lease)
 	result := balancer.ResultDone
 	switch {
 	case f != nil && ctx.Err() != nil && f.result == balancer.ResultFailed:
@@ -177,17 +178,17 @@
 		result = balancer.ResultAbandoned
 	}
 	lease.Done(result, clock.Now())
-	x.noteAttempt(lease, result, f, err)
+	x.reportToQuarantine(lease, result, f, err)
 	x.logAttempt(lease, result, f)
 	return f, err
 }
 
 var errNoServer = errors.New("no server of the service can take the request")
 
-// noServer is why a choice found no server.
-func (x *exchange) noServer(q balancer.Query, now time.Time) error {
+// noServerError returns the reason why the balancer found no server.
+func (x *exchange) noServerError(q balancer.Query, now time.Time) error {
 	a := x.gateway.Balancer.Availability(q, now)
-	// Of many candidates a choice looks at some, and may miss those that are available.
+	// With many candidates the balancer examines a sample only, and may miss the available ones.
 	if a.Available+a.WarmingUp > 0 || a.Limited+a.BackingOff == 0 {
 		return errNoServer
 	}
@@ -195,11 +196,11 @@
 }
 
 func (x *exchange) query(now time.Time) balancer.Query {
-	// Each attempt asks for the list of now, not of the request's arrival.
+	// Each attempt uses the current server list, not that of the request's arrival.
 	view := x.gateway.Directory.View()
 	return balancer.Query{
 		Candidates:  x.candidates(view, now),
-		Idle:        x.allowed(view.Idle(x.service.Name)),
+		Idle:        x.inAllowedRegions(view.Idle(x.service.Name)),
 		WarmUp:      x.service.WarmUp,
 		Unconfirmed: view.ServersAge(now) > directory.OutageLeast,
 		Warm:        func(s *routing.Server) time.Time { return view.Warm(s, x.service.WarmUp) },
@@ -209,100 +210,101 @@
 		Output:      x.call.OutputTokens,
 		Memory:      x.service.MemoryTokens,
 		Bytes:       len(x.body),
-		Avoid:       x.tried(),
+		Avoid:       x.excludedServers(),
 		Rank:        x.rank(),
-		Places:      x.places(),
+		Places:      x.maxOccupancy(),
 		Engine:      x.service.Engine,
 		Service:     x.service.Name,
 		Class:       x.route.Name,
 		Pause:       x.route.BetweenTarget,
-		Yield:       x.yields(),
-		Repeatable:  x.route.Repeatable() && len(x.servers)+1 < x.route.MaxAttempts,
+		Yield:       x.mustYield(),
+		Repeatable:  x.route.Repeatable() && len(x.attempted)+1 < x.route.MaxAttempts,
 	}
 }
 
-// exchangeWith makes one exchange with a server.
-func (x *exchange) exchangeWith(ctx context.Context, lease *balancer.Lease) (*failure, error) {
-	attempt, cancel := x.attemptContext(ctx)
+// sendWithTimeout sends the request to a server with the timeout of an attempt.
+func (x *exchange) sendWithTimeout(ctx context.Context, lease *balancer.Lease) (*failure, error) {
+	attemptCtx, cancel := x.attemptContext(ctx)
 	defer cancel()
-	f, err := x.exchangeWithin(attempt, lease)
+	f, err := x.send(attemptCtx, lease)
 	if f != nil {
-		// A connection that this box has closed itself did not break.
-		f.broken = f.broken && attempt.Err() == nil
+		// A connection closed by the box itself is no evidence of a crash.
+		f.disconnected = f.disconnected && attemptCtx.Err() == nil
 	}
 	return f, err
 }
 
-// exchangeWithin makes one exchange within the time of an attempt.
-func (x *exchange) exchangeWithin(attempt context.Context, lease *balancer.Lease) (*failure, error) {
-	resp, err := x.gateway.Upstream.Do(attempt, x.outgoing(lease))
+// send sends the request to a server and forwards the response.
+func (x *exchange) send(ctx context.Context, lease *balancer.Lease) (*failure, error) {
+	resp, err := x.gateway.Upstream.Do(ctx, x.upstreamRequest(lease))
 	if upstream.IsNotSent(err) {
-		x.unreachedServers = append(x.unreachedServers, lease.Server.Life())
-		return &failure{result: balancer.ResultUnreached, notRun: true, unsent: true, cause: err}, nil
+		x.unreachable = append(x.unreachable, lease.Server.Life())
+		return &failure{result: balancer.ResultUnreached, notExecuted: true, notSent: true, cause: err}, nil
 	}
-	x.servers = append(x.servers, lease.Server.Life())
-	x.gateway.outages.end(x.service.Name)
+	x.attempted = append(x.attempted, lease.Server.Life())
+	x.gateway.outages.resolve(x.service.Name)
 	if err != nil {
-		return &failure{result: brokenResult(err), broken: true, cause: err}, nil
+		return &failure{result: resultOfError(err), disconnected: true, cause: err}, nil
 	}
-	reply := x.gateway.Protocol.ParseResponse(resp.Status, resp.Header)
-	if !reply.ServerReplaced {
-		x.observeSignals(lease.Server.Life(), resp.Status, reply.Signals)
+	info := x.gateway.Protocol.ParseResponse(resp.Status, resp.Header)
+	if !info.ServerReplaced {
+		x.observeSignals(lease.Server.Life(), resp.Status, info.Signals)
 	}
 	switch {
-	case reply.ServerReplaced:
-		// The server that was meant got nothing, so it does not count as an attempt.
+	case info.ServerReplaced:
+		// The intended server received nothing, so this does not count as an attempt.
 		drain(resp)
-		x.servers = x.servers[:len(x.servers)-1]
-		x.unreachedServers = append(x.unreachedServers, lease.Server.Life())
-		return &failure{result: balancer.ResultReplaced, notRun: true, unsent: true, arrived: true, cause: &notRunError{Server: lease.Server.ID, Status: resp.Status}}, nil
-	case reply.NotExecuted:
+		x.attempted = x.attempted[:len(x.attempted)-1]
+		x.unreachable = append(x.unreachable, lease.Server.Life())
+		return &failure{result: balancer.ResultReplaced, notExecuted: true, notSent: true, usesRetryBudget: true, cause: &notExecutedError{Server: lease.Server.ID, Status: resp.Status}}, nil
+	case info.NotExecuted:
 		drain(resp)
-		return &failure{result: balancer.ResultRefused, notRun: true, cause: &notRunError{Server: lease.Server.ID, Status: resp.Status}}, nil
+		return &failure{result: balancer.ResultRefused, notExecuted: true, cause: &notExecutedError{Server: lease.Server.ID, Status: resp.Status}}, nil
 	case isStream(resp):
-		return x.stream(resp, lease)
+		return x.forwardStream(resp, lease)
 	}
-	return x.whole(resp, lease)
+	return x.forwardBuffered(resp, lease)
 }
 
-// observeSignals takes in what a server signals. A failure without a limit does not end one: what answers
-// for a server that fails may not know of it.
+// observeSignals passes the signals of a response to the balancer. An error response without a rate
+// limit does not clear the limit, as it may come from a proxy that doesn't know of it.
 func (x *exchange) observeSignals(server routing.Life, status int, s signals.Signals) {
 	if status >= http.StatusBadRequest && !s.Limit.Set {
 		s.Limit.Unknown = true
 	}
-	x.gateway.Balancer.Signals().Observe(server, s, x.sent, clock.Now())
+	x.gateway.Balancer.Signals().Observe(server, s, x.attemptStart, clock.Now())
 }
 
-// brokenResult tells a server whose box is silent from one that broke off.
-func brokenResult(err error) balancer.Result {
+// resultOfError distinguishes a server whose machine does not respond from one whose connection
+// broke.
+func resultOfError(err error) balancer.Result {
 	if errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) {
 		return balancer.ResultUnreached
 	}
 	return balancer.ResultFailed
 }
 
-// attemptContext bounds one attempt: what may be repeated does not wait for a
-// silent server to the end.
+// attemptContext returns the context of one attempt. An attempt that may be retried elsewhere gets
+// a timeout, so that it does not wait for an unresponsive server until the deadline.
 func (x *exchange) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	wait := max(hedgeAfter*x.route.FirstTarget, hedgeLeast)
-	more := len(x.servers)+1 < x.route.MaxAttempts
-	if x.service.Engine || !x.route.Repeatable() || !more || clock.Until(x.deadline) < 2*wait {
+	timeout := max(attemptTimeoutTargets*x.route.FirstTarget, minAttemptTimeout)
+	attemptsLeft := len(x.attempted)+1 < x.route.MaxAttempts
+	if x.service.Engine || !x.route.Repeatable() || !attemptsLeft || clock.Until(x.deadline) < 2*timeout {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, wait)
+	return context.WithTimeout(ctx, timeout)
 }
 
 func (x *exchange) rank() int { return x.view.Table.Rank(x.organisation, x.route) }
 
-func (x *exchange) outgoing(lease *balancer.Lease) upstream.Request {
+func (x *exchange) upstreamRequest(lease *balancer.Lease) upstream.Request {
 	a := Attempt{
 		Call:          &x.call,
 		Server:        lease.Server,
 		Rank:          x.rank(),
 		Engine:        x.service.Engine,
 		RemainingTime: clock.Until(x.deadline),
-		LastEventID:   x.lastEvent,
+		LastEventID:   x.lastEventID,
 		PrefixSource:  lease.Source,
 	}
 	if x.organisation != nil {
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -12,112 +12,111 @@
 	"headhill.example/headhill/pkg/upstream"
 )
 
-// eventMost bounds one event, in bytes.
-const eventMost = 1 << 20
+// maxEventBytes is the maximum size of an event.
+const maxEventBytes = 1 << 20
 
-var errLongEvent = errors.New("event longer than 1 MiB: check what the server streams")
+var errEventTooLong = errors.New("event longer than 1 MiB: check what the server streams")
 
-// stream passes events on as they come, whole ones only, so that another server can
-// go on after the last one.
-func (x *exchange) stream(resp *upstream.Response, lease *balancer.Lease) (*failure, error) {
-	cutter := eventCutter{}
+// forwardStream forwards complete events only, so that another server can resume the stream after
+// the last one.
+func (x *exchange) forwardStream(resp *upstream.Response, lease *balancer.Lease) (*failure, error) {
+	splitter := eventSplitter{}
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := resp.Body.Read(buffer)
-		events, cutErr := cutter.add(buffer[:n])
+		events, splitErr := splitter.add(buffer[:n])
 		if len(events) > 0 {
-			x.noteRun(clock.Now())
+			x.recordStart(clock.Now())
 			lease.Begun(clock.Now())
-			if werr := x.sendEvents(resp, events); werr != nil {
+			if writeErr := x.sendEvents(resp, events); writeErr != nil {
 				resp.Close(false)
-				return nil, &callerGoneError{Cause: werr}
+				return nil, &callerGoneError{Cause: writeErr}
 			}
 		}
 		switch {
 		case err == io.EOF:
 			resp.Close(true)
-			return nil, x.endStream(resp, cutter.rest)
-		case err != nil, cutErr != nil:
+			return nil, x.finishStream(resp, splitter.partial)
+		case err != nil, splitErr != nil:
 			resp.Close(false)
-			return &failure{result: brokenResult(err), broken: true, cause: cmp.Or(err, cutErr)}, nil
+			return &failure{result: resultOfError(err), disconnected: true, cause: cmp.Or(err, splitErr)}, nil
 		}
 	}
 }
 
-// sendEvents gives the caller whole events. The head is that of the first server
-// that sent any.
+// sendEvents sends complete events to the caller, preceded by the header of the first server that
+// sent any.
 func (x *exchange) sendEvents(resp *upstream.Response, events []byte) error {
-	x.beginStream(resp)
-	x.allowTime()
+	x.writeStreamHead(resp)
+	x.extendWriteDeadline()
 	if _, err := x.writer.Write(events); err != nil {
 		return err
 	}
 	if err := http.NewResponseController(x.writer).Flush(); err != nil {
 		return err
 	}
-	x.noteEvents(events)
+	x.recordEvents(events)
 	return nil
 }
 
-func (x *exchange) beginStream(resp *upstream.Response) {
-	if x.begun {
+func (x *exchange) writeStreamHead(resp *upstream.Response) {
+	if x.headSent {
 		return
 	}
 	copyHeader(x.writer.Header(), resp.Header)
-	x.begin(resp.Status)
+	x.writeHead(resp.Status)
 }
 
-// noteEvents remembers the last event that the caller has, and the longest pause before
-// an event.
-func (x *exchange) noteEvents(events []byte) {
+// recordEvents records the ID of the last event sent to the caller, and the times of events.
+func (x *exchange) recordEvents(events []byte) {
 	now := clock.Now()
-	if x.firstEvent.IsZero() {
-		x.firstEvent, x.latestEvent = now, now
+	if x.firstEventTime.IsZero() {
+		x.firstEventTime, x.lastEventTime = now, now
 	}
-	x.longestPause = max(x.longestPause, now.Sub(x.latestEvent))
-	x.latestEvent = now
+	x.maxEventGap = max(x.maxEventGap, now.Sub(x.lastEventTime))
+	x.lastEventTime = now
 	for line := range bytes.Lines(events) {
 		id, ok := bytes.CutPrefix(line, []byte("id:"))
 		if !ok {
 			continue
 		}
-		x.lastEvent = string(bytes.TrimSpace(id))
-		x.events++
+		x.lastEventID = string(bytes.TrimSpace(id))
+		x.eventCount++
 	}
 }
 
-// endStream ends a whole stream; rest is what follows its last event.
-func (x *exchange) endStream(resp *upstream.Response, rest []byte) error {
-	x.beginStream(resp)
-	if len(rest) == 0 {
+// finishStream ends a complete stream; partial is the data after its last event.
+func (x *exchange) finishStream(resp *upstream.Response, partial []byte) error {
+	x.writeStreamHead(resp)
+	if len(partial) == 0 {
 		return nil
 	}
-	if _, err := x.writer.Write(rest); err != nil {
+	if _, err := x.writer.Write(partial); err != nil {
 		return &callerGoneError{Cause: err}
 	}
 	return nil
 }
 
-// eventCutter cuts a stream of bytes after its last whole event.
-type eventCutter struct{ rest []byte }
+// eventSplitter splits a byte stream after its last complete event.
+type eventSplitter struct{ partial []byte }
 
-// add takes bytes in and returns the events that are whole by now.
-func (c *eventCutter) add(b []byte) ([]byte, error) {
-	c.rest = append(c.rest, b...)
-	end := lastBlankLine(c.rest)
+// add appends data and returns the events that are complete now.
+func (s *eventSplitter) add(b []byte) ([]byte, error) {
+	s.partial = append(s.partial, b...)
+	end := endOfLastBlankLine(s.partial)
 	if end < 0 {
-		if len(c.rest) > eventMost {
-			return nil, errLongEvent
+		if len(s.partial) > maxEventBytes {
+			return nil, errEventTooLong
 		}
 		return nil, nil
 	}
-	events := c.rest[:end]
-	c.rest = bytes.Clone(c.rest[end:])
+	events := s.partial[:end]
+	s.partial = bytes.Clone(s.partial[end:])
 	return events, nil
 }
 
-// lastBlankLine returns the offset behind the last blank line, or -1.
-func lastBlankLine(b []byte) int {
+// endOfLastBlankLine returns the offset after the last blank line, or -1.
+func endOfLastBlankLine(b []byte) int {
 	end := -1
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		end = i + 2
--- a/pkg/gateway/unavailable.go
+++ b/pkg/gateway/unavailable.go
@@ -14,55 +14,55 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// queueKey names the requests that wait for the same servers.
+// queueKey identifies a queue of requests that wait for the same servers.
 type queueKey struct {
 	service string
-	// regions are those that the requests are bound to.
+	// regions are the regions that the requests are restricted to.
 	regions string
 }
 
-// queues count the requests that wait for servers which are limited or back off, by rank.
+// queues counts the requests that wait for servers which are rate limited or back off, by rank.
 type queues struct {
 	mu      sync.Mutex
 	waiting map[queueKey]*[routing.RankMost + 1]int
 }
 
-// add counts more requests of a rank, or fewer.
+// add adds count, which may be negative, to the waiting requests of a rank.
 func (q *queues) add(key queueKey, rank, count int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiting == nil {
 		q.waiting = make(map[queueKey]*[routing.RankMost + 1]int)
 	}
-	ranks, ok := q.waiting[key]
+	counts, ok := q.waiting[key]
 	if !ok {
-		ranks = new([routing.RankMost + 1]int)
-		q.waiting[key] = ranks
+		counts = new([routing.RankMost + 1]int)
+		q.waiting[key] = counts
 	}
-	ranks[rank] += count
-	if *ranks == ([routing.RankMost + 1]int{}) {
+	counts[rank] += count
+	if *counts == ([routing.RankMost + 1]int{}) {
 		delete(q.waiting, key)
 	}
 }
 
-// before is how many requests wait whose rank is below a bound.
-func (q *queues) before(key queueKey, bound int) int {
+// countBelow returns the number of waiting requests whose rank is below a bound.
+func (q *queues) countBelow(key queueKey, bound int) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ranks, ok := q.waiting[key]
+	counts, ok := q.waiting[key]
 	if !ok {
 		return 0
 	}
-	sum := 0
-	for _, n := range ranks[:bound] {
-		sum += n
+	total := 0
+	for _, n := range counts[:bound] {
+		total += n
 	}
-	return sum
+	return total
 }
 
 func (x *exchange) queueKey() queueKey {
 	key := queueKey{service: x.service.Name}
-	if x.regions().Any() {
+	if x.allowedRegions().Any() {
 		return key
 	}
 	key.regions = strings.Join(x.route.Regions, ",")
@@ -72,42 +72,42 @@
 	return key
 }
 
-// queueBound is the rank from which on waiting requests do not go before this one: of its own rank those
-// that wait already do.
+// queueBound returns the rank below which waiting requests precede this one. A new request queues
+// behind those of its own rank.
 func (x *exchange) queueBound() int {
-	if x.queueing {
+	if x.queued {
 		return x.rank()
 	}
 	return x.rank() + 1
 }
 
-// yields tells whether requests wait which have the rate of limited servers before this one.
-func (x *exchange) yields() bool {
-	return x.gateway.queues.before(x.queueKey(), x.queueBound()) > 0
+// mustYield reports whether waiting requests precede this one at rate limited servers.
+func (x *exchange) mustYield() bool {
+	return x.gateway.queues.countBelow(x.queueKey(), x.queueBound()) > 0
 }
 
-// awaitAvailable waits a moment for a server that is limited or backs off, or refuses the request at once
-// if it would be too late then.
-func (x *exchange) awaitAvailable(ctx context.Context, f *failure, a balancer.Availability) error {
+// waitForAvailability waits until the next attempt to find a server that is neither rate limited
+// nor backs off, or refuses the request at once if that would be too late.
+func (x *exchange) waitForAvailability(ctx context.Context, f *failure, a balancer.Availability) error {
 	now := clock.Now()
-	wait, known := x.untilAvailable(a, now)
-	if !known || now.Add(wait).After(x.awaitEnd()) {
-		after := x.stayAway(wait, now)
+	wait, known := x.estimateWait(a, now)
+	if !known || now.Add(wait).After(x.waitDeadline()) {
+		retryAfter := x.outageRetryAfter(wait, now)
 		_ = level.Info(x.gateway.Logger).Log("msg", "no server available", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
-			"limited", a.Limited, "per_second", a.PerSecond, "backing_off", a.BackingOff, "wait_ms", wait.Milliseconds(), "come_back_ms", after.Milliseconds())
-		return &RefusedError{Reason: f.cause.Error(), RetryAfter: after}
+			"limited", a.Limited, "per_second", a.PerSecond, "backing_off", a.BackingOff, "wait_ms", wait.Milliseconds(), "come_back_ms", retryAfter.Milliseconds())
+		return &RefusedError{Reason: f.cause.Error(), RetryAfter: retryAfter}
 	}
-	x.queue()
-	return x.lookAgain(ctx, f)
+	x.enqueue()
+	return x.pollAgain(ctx, f)
 }
 
-// untilAvailable estimates when a server may get the request, behind those that wait already; it returns
-// false where this box sends them nothing.
-func (x *exchange) untilAvailable(a balancer.Availability, now time.Time) (time.Duration, bool) {
+// estimateWait estimates when a server takes the request, behind those that wait already. It
+// returns false if this box may send the servers nothing.
+func (x *exchange) estimateWait(a balancer.Availability, now time.Time) (time.Duration, bool) {
 	var waits []time.Duration
 	if a.PerSecond > 0 {
-		before := float64(x.gateway.queues.before(x.queueKey(), x.queueBound()))
-		waits = append(waits, a.NextToken.Sub(now)+time.Duration(before/a.PerSecond*float64(time.Second)))
+		ahead := float64(x.gateway.queues.countBelow(x.queueKey(), x.queueBound()))
+		waits = append(waits, a.NextToken.Sub(now)+time.Duration(ahead/a.PerSecond*float64(time.Second)))
 	}
 	if a.BackingOff > 0 {
 		waits = append(waits, max(0, a.BackoffEnd.Sub(now)))
@@ -118,20 +118,20 @@
 	return slices.Min(waits), true
 }
 
-// queue counts the request among those that wait.
-func (x *exchange) queue() {
-	if x.queueing {
+// enqueue counts the request as waiting.
+func (x *exchange) enqueue() {
+	if x.queued {
 		return
 	}
-	x.queueing = true
+	x.queued = true
 	x.gateway.queues.add(x.queueKey(), x.rank(), 1)
 }
 
-// stopQueueing ends the wait of a request that has a server or has ended.
-func (x *exchange) stopQueueing() {
-	if !x.queueing {
+// dequeue ends the wait of a request that got a server or has ended.
+func (x *exchange) dequeue() {
+	if !x.queued {
 		return
 	}
-	x.queueing = false
+	x.queued = false
 	x.gateway.queues.add(x.queueKey(), x.rank(), -1)
 }
--- a/pkg/gateway/usage.go
+++ b/pkg/gateway/usage.go
@@ -6,25 +6,25 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Usage counts requests that begin to run.
+// Usage counts started requests.
 type Usage interface {
 	RequestStarted(organisation string, at time.Time)
 }
 
-// noteRun counts the request as one that began to run at a time: a stream with its first
-// event, another request when it was sent. It counts once, however often it is sent.
-func (x *exchange) noteRun(at time.Time) {
-	if x.counted || x.organisation == nil {
+// recordStart counts the request as started at a time: a stream at its first event, another request
+// when it was sent. A request counts once, however often it is sent.
+func (x *exchange) recordStart(at time.Time) {
+	if x.usageCounted || x.organisation == nil {
 		return
 	}
-	x.counted = true
+	x.usageCounted = true
 	x.gateway.Usage.RequestStarted(x.organisation.Name, at)
 }
 
-// noteLostRun counts a request whose answer did not come as one that ran. Of a stream the
-// first event would have come.
-func (x *exchange) noteLostRun() {
+// recordLostStart counts a request whose response was lost as started. A stream is not counted, as
+// its first event did not arrive.
+func (x *exchange) recordLostStart() {
 	if x.route.Kind != routing.KindStream {
-		x.noteRun(x.sent)
+		x.recordStart(x.attemptStart)
 	}
 }
--- a/pkg/upstream/client.go
+++ b/pkg/upstream/client.go
@@ -45,8 +45,8 @@
 	raw      *http.Response
 }
 
-// maxStaleResponses is the maximum number of response headers read for one request, as those of
-// interim responses and of responses to earlier requests are skipped.
+// maxStaleResponses is the maximum number of response headers read for one request. Interim
+// responses and responses to earlier requests are skipped.
 const maxStaleResponses = 4
 
 // Client sends requests to servers over pooled connections.
