--- a/pkg/gateway/admit.go
+++ b/pkg/gateway/admit.go
@@ -17,9 +17,9 @@
 	// refused earlier.
 	maxWaitTargetsMostUrgent  = 2.5
 	maxWaitTargetsLeastUrgent = 0.75
-	// maxOccupancyMostUrgent and maxOccupancyLeastUrgent are the shares of an engine's places that
+	// maxOccupancyMostUrgent and maxOccupancyLeastUrgent are the shares of an engine's slots that
 	// may be in use for a request of the most and the least urgent rank to be admitted. The last
-	// places are reserved for urgent requests, as a full engine has to preempt running work for
+	// slots are reserved for urgent requests, as a full engine has to preempt running work for
 	// them.
 	maxOccupancyMostUrgent  = 1.0
 	maxOccupancyLeastUrgent = 0.6
@@ -40,17 +40,17 @@
 		// An outage: run waits for a server.
 		return nil
 	}
-	turn, known := x.gateway.Balancer.EstimateQueue(x.service.Name, x.rank(), len(servers), now)
+	estimate, known := x.gateway.Balancer.EstimateQueue(x.service.Name, x.rank(), len(servers), now)
 	maxWait := x.maxWait()
-	x.expectedWait, x.reservePlaces = turn.Wait, turn.MoreUrgentSeen
-	tooLate := known && maxWait > 0 && turn.Wait > maxWait
-	if !tooLate && (turn.Overtakes || x.gateway.Balancer.HasFreeSlot(servers, x.maxOccupancy(), now)) {
+	x.expectedWait, x.reserveSlots = estimate.Wait, estimate.MoreUrgentSeen
+	tooLate := known && maxWait > 0 && estimate.Wait > maxWait
+	if !tooLate && (estimate.Overtakes || x.gateway.Balancer.HasFreeSlot(servers, x.maxOccupancy(), now)) {
 		return nil
 	}
-	retryAfter := x.admissionRetryAfter(turn.Wait)
+	retryAfter := x.admissionRetryAfter(estimate.Wait)
 	_ = level.Info(x.gateway.Logger).Log("msg", "not admitted", "id", x.call.ID, "service", x.service.Name, "rank", x.rank(),
-		"late", tooLate, "wait_ms", turn.Wait.Milliseconds(), "most_ms", maxWait.Milliseconds(), "servers", len(servers), "come_back_ms", retryAfter.Milliseconds())
-	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", turn.Wait.Round(time.Millisecond)), RetryAfter: retryAfter}
+		"late", tooLate, "wait_ms", estimate.Wait.Milliseconds(), "most_ms", maxWait.Milliseconds(), "servers", len(servers), "come_back_ms", retryAfter.Milliseconds())
+	return &RefusedError{Reason: fmt.Sprintf("the engines have work for %s before it, or no place for its rank", estimate.Wait.Round(time.Millisecond)), RetryAfter: retryAfter}
 }
 
 // maxWait returns the maximum queueing time of the request.
@@ -59,10 +59,10 @@
 	return time.Duration(targets * float64(x.view.Table.MinFirstEventTarget(x.service.Name)))
 }
 
-// maxOccupancy returns the share of an engine's places that may be in use for the request to be
-// sent there. Places are reserved only while more urgent requests arrive.
+// maxOccupancy returns the share of an engine's slots that may be in use for the request to be sent
+// there. Slots are reserved only while more urgent requests arrive.
 func (x *exchange) maxOccupancy() float64 {
-	if !x.reservePlaces {
+	if !x.reserveSlots {
 		return maxOccupancyMostUrgent
 	}
 	return x.interpolateByRank(maxOccupancyMostUrgent, maxOccupancyLeastUrgent)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -163,8 +163,8 @@
 	mayHaveRun bool
 	// expectedWait is the queueing time at the engines estimated at admission.
 	expectedWait time.Duration
-	// reservePlaces is set if more urgent requests arrive, for which places are reserved.
-	reservePlaces bool
+	// reserveSlots is set if more urgent requests arrive, for which engine slots are reserved.
+	reserveSlots bool
 	// quarantineTrial is set if the request is quarantined and this attempt is its trial.
 	quarantineTrial bool
 	// queued is set while the request waits for servers that are rate limited or back off.
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -23,7 +23,7 @@
 	// MaySuspect reports whether the request may be tracked. False positives are possible.
 	MaySuspect(*quarantine.Request) bool
 	Verdict(quarantine.Fingerprint) quarantine.Verdict
-	RecordCrash(f quarantine.Fingerprint, life quarantine.IncarnationHash, at time.Time)
+	RecordCrash(f quarantine.Fingerprint, server quarantine.IncarnationHash, at time.Time)
 	RecordSuccess(quarantine.Fingerprint)
 	// BeginTrial reports whether this box may send a quarantined request to a server now.
 	BeginTrial(ctx context.Context, f quarantine.Fingerprint, now time.Time) bool
