--- a/pkg/gateway/held_test.go
+++ b/pkg/gateway/held_test.go
@@ -14,7 +14,7 @@
 
 // Buffered responses must stay within MaxHeldBytes under concurrency, and their memory must be
 // released.
-func TestHeldAnswersAreBounded(t *testing.T) {
+func TestBufferedBytesAreBounded(t *testing.T) {
 	const maxHeldBytes = 1 << 20
 	g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: maxHeldBytes}}}
 	var wg conc.WaitGroup
@@ -33,7 +33,7 @@
 
 // A buffered response must be a prefix of what was sent, and be reported complete only if all of it
 // was read.
-func TestHeldAnswerIsWhatWasSent(t *testing.T) {
+func TestBufferedResponseMatchesSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := bytes.Repeat([]byte("0123456789abcdef"), rapid.IntRange(0, 3*maxBufferedBytes/32).Draw(t, "16-byte blocks"))
 		g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: int64(rapid.IntRange(0, 2*maxBufferedBytes).Draw(t, "max held bytes"))}}}
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -38,7 +38,7 @@
 }
 
 // No data may be lost, added or reordered, and forwarded data must end with a complete event.
-func FuzzCutter(f *testing.F) {
+func FuzzEventSplitter(f *testing.F) {
 	f.Add([]byte("id: 1\n\nid: 2\r\n\r\nrest"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
 		var s eventSplitter
--- a/pkg/pause/pause_test.go
+++ b/pkg/pause/pause_test.go
@@ -23,7 +23,7 @@
 }
 
 // The number of boxes that act before they learn of the first one must not grow with the fleet.
-func TestFewActBeforeTheyAreSpared(t *testing.T) {
+func TestSuppressionDelayLimitsDuplicateActions(t *testing.T) {
 	const window, latency = time.Second, 200 * time.Millisecond
 	assert.Zero(t, SuppressionDelay(window, 1))
 	for _, n := range []int{10, 100, 1000, 2000} {
