--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -244,7 +244,7 @@
 		return
 	}
 	ctx := x.request.Context()
-	for end := x.arrival.Add(wait); clock.Now().Before(end) && ctx.Err() == nil && !x.gateway.Directory.TableFails(); {
+	for end := x.arrival.Add(wait); clock.Now().Before(end) && ctx.Err() == nil && !x.gateway.Directory.TableReadFailing(); {
 		pause.For(ctx, tablePollInterval)
 		if x.view = x.gateway.Directory.View(); x.view.Table != nil {
 			return
