--- a/pkg/announce/announce.go
+++ b/pkg/announce/announce.go
@@ -27,10 +27,10 @@
 
 // Timing says how often the store is checked.
 type Timing struct {
-	// Every is the least time between checks, Spread what is added so that mostly one box
+	// Interval is the least time between checks, Stagger what is added so that mostly one box
 	// asks.
-	Every  time.Duration
-	Spread time.Duration
+	Interval time.Duration
+	Stagger  time.Duration
 }
 
 // Deps are what a Checker is built on.
@@ -39,9 +39,9 @@
 	Timing func() Timing
 	// Check asks the store. It returns false if there was no answer.
 	Check func(context.Context) (directory.Check, bool)
-	// Look looks who else is there, which costs less than a check. It returns whether that
+	// RefreshRoster looks who else is there, which costs less than a check. It returns whether that
 	// made any box known.
-	Look func(context.Context) bool
+	RefreshRoster func(context.Context) bool
 	// Peers are the addresses of the other boxes.
 	Peers func() []*net.UDPAddr
 	// Rank is this box's place in the order in which boxes check, on which those that know
@@ -67,7 +67,7 @@
 	c := &Checker{Deps: d, heard: make(chan message, 64), unknown: make(chan struct{}, 1)}
 	d.Directory.OnNotice(c.tellNotice)
 	d.Port.Handle(kind, c.receive)
-	d.Port.OnStranger(c.LookWhoIsThere)
+	d.Port.OnUnknownSender(c.RequestRosterRefresh)
 	return c
 }
 
@@ -194,7 +194,7 @@
 // look looks who else is there, and tells whether any box is known now that was not.
 func (c *Checker) look(ctx context.Context, grown chan<- struct{}) {
 	pause.For(ctx, rand.N(lookSpread))
-	if ctx.Err() != nil || !c.Look(ctx) {
+	if ctx.Err() != nil || !c.RefreshRoster(ctx) {
 		return
 	}
 	select {
@@ -282,8 +282,8 @@
 	}
 }
 
-// LookWhoIsThere makes this box look again which boxes there are, soon.
-func (c *Checker) LookWhoIsThere() {
+// RequestRosterRefresh makes this box look again which boxes there are, soon.
+func (c *Checker) RequestRosterRefresh() {
 	select {
 	case c.unknown <- struct{}{}:
 	default:
--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -32,7 +32,7 @@
 
 // port believes the addresses of a list.
 func port(conn net.PacketConn, known ...*net.UDPAddr) *datagram.Port {
-	return datagram.NewPort(datagram.Deps{Conn: conn, Logger: log.NewNopLogger(), Known: func(a netip.AddrPort) bool {
+	return datagram.NewPort(datagram.Deps{Conn: conn, Logger: log.NewNopLogger(), IsPeer: func(a netip.AddrPort) bool {
 		return slices.ContainsFunc(known, func(k *net.UDPAddr) bool { return k.AddrPort() == a })
 	}})
 }
@@ -71,10 +71,10 @@
 		}
 		c := New(Deps{
 			Port: port(conns[i], peers...), Directory: directory.New(log.NewNopLogger()),
-			Timing: func() Timing { return Timing{Every: 50 * time.Millisecond, Spread: 50 * time.Millisecond} },
-			Peers:  func() []*net.UDPAddr { return peers },
-			Look:   func(context.Context) bool { return false },
-			Rank:   func() int { return i },
+			Timing:        func() Timing { return Timing{Interval: 50 * time.Millisecond, Stagger: 50 * time.Millisecond} },
+			Peers:         func() []*net.UDPAddr { return peers },
+			RefreshRoster: func(context.Context) bool { return false },
+			Rank:          func() int { return i },
 			Check: func(context.Context) (directory.Check, bool) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
@@ -108,7 +108,7 @@
 	rank := 0
 	c := checker(t)
 	c.Rank = func() int { return rank }
-	c.Timing = func() Timing { return Timing{Every: time.Second, Spread: time.Second} }
+	c.Timing = func() Timing { return Timing{Interval: time.Second, Stagger: time.Second} }
 	last := time.Duration(0)
 	for ; rank < firstBoxes; rank++ {
 		assert.Greater(t, c.next(), last)
@@ -154,7 +154,7 @@
 	checking := make(chan struct{})
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
-		Timing: func() Timing { return Timing{Every: time.Millisecond} },
+		Timing: func() Timing { return Timing{Interval: time.Millisecond} },
 		Peers:  func() []*net.UDPAddr { return nil },
 		Rank:   func() int { return 0 },
 		Check: func(ctx context.Context) (directory.Check, bool) {
@@ -180,10 +180,10 @@
 	var looks, checks atomic.Int32
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
-		Timing: func() Timing { return Timing{Every: time.Second} },
-		Peers:  func() []*net.UDPAddr { return nil },
-		Rank:   func() int { return 0 },
-		Look:   func(context.Context) bool { return looks.Add(1) == 1 },
+		Timing:        func() Timing { return Timing{Interval: time.Second} },
+		Peers:         func() []*net.UDPAddr { return nil },
+		Rank:          func() int { return 0 },
+		RefreshRoster: func(context.Context) bool { return looks.Add(1) == 1 },
 		Check: func(context.Context) (directory.Check, bool) {
 			checks.Add(1)
 			return directory.Check{}, false
--- a/pkg/announce/turns.go
+++ b/pkg/announce/turns.go
@@ -24,10 +24,10 @@
 func (c *Checker) next() time.Duration {
 	t := c.Timing()
 	if rank := c.Rank(); rank < firstBoxes {
-		return t.Every + time.Duration(float64(t.Spread)*firstShare*float64(rank)/firstBoxes)
+		return t.Interval + time.Duration(float64(t.Stagger)*firstShare*float64(rank)/firstBoxes)
 	}
 	n := float64(len(c.Peers()) + 1)
-	return t.Every + time.Duration(float64(t.Spread)*(firstShare+(1-firstShare)*math.Pow(rand.Float64(), 1/n)))
+	return t.Interval + time.Duration(float64(t.Stagger)*(firstShare+(1-firstShare)*math.Pow(rand.Float64(), 1/n)))
 }
 
 // turns says when this box checks the store. One check is under way at a time.
--- a/pkg/callrate/limiter.go
+++ b/pkg/callrate/limiter.go
@@ -13,21 +13,21 @@
 
 // Budget is a number of calls a second.
 type Budget struct {
-	Reads  float64
-	Writes float64
+	ReadsPerSecond  float64
+	WritesPerSecond float64
 }
 
-// Default is what the store takes from all boxes together where the settings say
+// DefaultBudget is what the store takes from all boxes together where the settings say
 // nothing.
-var Default = Budget{Reads: 2000, Writes: 400}
+var DefaultBudget = Budget{ReadsPerSecond: 2000, WritesPerSecond: 400}
 
 // mostPerSecond bounds a rate in the settings.
 const mostPerSecond = 1e6
 
 // ReadSettings reads the rates from a section of the settings.
 func ReadSettings(s *inifile.Section, b *Budget) {
-	s.Float("reads-per-second", &b.Reads, 1, mostPerSecond)
-	s.Float("writes-per-second", &b.Writes, 1, mostPerSecond)
+	s.Float("reads-per-second", &b.ReadsPerSecond, 1, mostPerSecond)
+	s.Float("writes-per-second", &b.WritesPerSecond, 1, mostPerSecond)
 }
 
 const (
@@ -42,7 +42,7 @@
 // Share divides a budget among boxes.
 func (b Budget) Share(boxes int) Budget {
 	n := float64(max(1, boxes))
-	return Budget{Reads: max(b.Reads/n, readsLeast), Writes: max(b.Writes/n, writesLeast)}
+	return Budget{ReadsPerSecond: max(b.ReadsPerSecond/n, readsLeast), WritesPerSecond: max(b.WritesPerSecond/n, writesLeast)}
 }
 
 // Calls counts calls by kind.
@@ -59,8 +59,8 @@
 // New returns a limiter of a budget.
 func New(b Budget) *Limiter {
 	return &Limiter{
-		reads:  rate.NewLimiter(rate.Limit(b.Reads), burst(b.Reads)),
-		writes: rate.NewLimiter(rate.Limit(b.Writes), burst(b.Writes)),
+		reads:  rate.NewLimiter(rate.Limit(b.ReadsPerSecond), burst(b.ReadsPerSecond)),
+		writes: rate.NewLimiter(rate.Limit(b.WritesPerSecond), burst(b.WritesPerSecond)),
 	}
 }
 
@@ -68,10 +68,10 @@
 
 // SetBudget changes the rates, as when the number of boxes changes.
 func (l *Limiter) SetBudget(b Budget) {
-	l.reads.SetLimit(rate.Limit(b.Reads))
-	l.reads.SetBurst(burst(b.Reads))
-	l.writes.SetLimit(rate.Limit(b.Writes))
-	l.writes.SetBurst(burst(b.Writes))
+	l.reads.SetLimit(rate.Limit(b.ReadsPerSecond))
+	l.reads.SetBurst(burst(b.ReadsPerSecond))
+	l.writes.SetLimit(rate.Limit(b.WritesPerSecond))
+	l.writes.SetBurst(burst(b.WritesPerSecond))
 }
 
 // Wait counts a call and returns when it may be made, or with an error if ctx ends
--- a/pkg/callrate/limiter_test.go
+++ b/pkg/callrate/limiter_test.go
@@ -14,7 +14,7 @@
 func TestFleetStaysWithinItsBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, seconds = 20, 30
-		fleet := Budget{Reads: 400, Writes: 100}
+		fleet := Budget{ReadsPerSecond: 400, WritesPerSecond: 100}
 		limiters := make([]*Limiter, boxes)
 		ctx, cancel := context.WithTimeout(context.Background(), seconds*time.Second)
 		defer cancel()
@@ -37,17 +37,17 @@
 			writes += l.Calls().Writes
 		}
 		// Each box may begin with a burst, and has one call of each kind waiting.
-		burst := boxes * (float64(burst(fleet.Share(boxes).Reads)) + 1)
-		assert.LessOrEqual(t, float64(reads), fleet.Reads*seconds+burst)
-		assert.LessOrEqual(t, float64(writes), fleet.Writes*seconds+burst)
-		assert.Greater(t, float64(reads), 0.9*fleet.Reads*seconds)
+		burst := boxes * (float64(burst(fleet.Share(boxes).ReadsPerSecond)) + 1)
+		assert.LessOrEqual(t, float64(reads), fleet.ReadsPerSecond*seconds+burst)
+		assert.LessOrEqual(t, float64(writes), fleet.WritesPerSecond*seconds+burst)
+		assert.Greater(t, float64(reads), 0.9*fleet.ReadsPerSecond*seconds)
 	})
 }
 
 func TestBoxKeepsALittleInAHugeFleet(t *testing.T) {
-	share := Default.Share(1e6)
-	assert.Equal(t, Budget{Reads: readsLeast, Writes: writesLeast}, share)
-	assert.Equal(t, Default, Default.Share(0))
+	share := DefaultBudget.Share(1e6)
+	assert.Equal(t, Budget{ReadsPerSecond: readsLeast, WritesPerSecond: writesLeast}, share)
+	assert.Equal(t, DefaultBudget, DefaultBudget.Share(0))
 	l := New(share)
 	for range burstLeast {
 		require.NoError(t, l.Wait(context.Background(), false), "enough to start with")
--- a/pkg/datagram/port.go
+++ b/pkg/datagram/port.go
@@ -16,8 +16,8 @@
 	"headhill.example/headhill/pkg/datagram/datagrampb"
 )
 
-// SizeMost bounds a datagram, in bytes. Longer ones are not sent.
-const SizeMost = 8 << 10
+// MaxDatagramBytes bounds a datagram, in bytes. Longer ones are not sent.
+const MaxDatagramBytes = 8 << 10
 
 // Message is one message as it arrived.
 type Message struct {
@@ -33,9 +33,9 @@
 	// Box is the name of this box.
 	Box  string
 	Conn net.PacketConn
-	// Known tells whether an address is that of a box of the roster. Others are not
+	// IsPeer tells whether an address is that of a box of the roster. Others are not
 	// believed.
-	Known  func(netip.AddrPort) bool
+	IsPeer func(netip.AddrPort) bool
 	Logger log.Logger
 }
 
@@ -55,12 +55,12 @@
 // Handle sets who takes the messages of a kind. The handler must not block.
 func (p *Port) Handle(kind string, f func(Message)) { p.handlers[kind] = f }
 
-// OnStranger sets who is told of a well-formed message from an unknown box. It must
+// OnUnknownSender sets who is told of a well-formed message from an unknown box. It must
 // not block.
-func (p *Port) OnStranger(f func()) { p.stranger = f }
+func (p *Port) OnUnknownSender(f func()) { p.stranger = f }
 
-// OnHeard sets who is told of each message of a known box. It must not block.
-func (p *Port) OnHeard(f func(box string)) { p.heard = f }
+// OnReceive sets who is told of each message of a known box. It must not block.
+func (p *Port) OnReceive(f func(box string)) { p.heard = f }
 
 // Send sends a message to some boxes. It returns false if the message is too long.
 func (p *Port) Send(kind string, body []byte, to ...*net.UDPAddr) bool {
@@ -68,7 +68,7 @@
 		return true
 	}
 	data, err := proto.Marshal(&datagrampb.Envelope{Box: p.Box, Kind: kind, Body: body})
-	if err != nil || len(data) > SizeMost {
+	if err != nil || len(data) > MaxDatagramBytes {
 		return false
 	}
 	for _, address := range to {
@@ -80,7 +80,7 @@
 
 // Listen hands messages to their handlers until the connection is closed.
 func (p *Port) Listen() {
-	buffer := make([]byte, SizeMost)
+	buffer := make([]byte, MaxDatagramBytes)
 	for {
 		n, from, err := p.Conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -116,11 +116,11 @@
 	if !ok {
 		return nil, false
 	}
-	return a, p.Known(AddrPortOf(a))
+	return a, p.IsPeer(CanonicalAddrPort(a))
 }
 
-// AddrPortOf is an address in the one form in which boxes are known.
-func AddrPortOf(a *net.UDPAddr) netip.AddrPort {
+// CanonicalAddrPort is an address in the one form in which boxes are known.
+func CanonicalAddrPort(a *net.UDPAddr) netip.AddrPort {
 	address := a.AddrPort()
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
--- a/pkg/datagram/port_test.go
+++ b/pkg/datagram/port_test.go
@@ -40,7 +40,7 @@
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
-	p := NewPort(Deps{Box: box, Conn: conn, Logger: log.NewNopLogger(), Known: known.has})
+	p := NewPort(Deps{Box: box, Conn: conn, Logger: log.NewNopLogger(), IsPeer: known.has})
 	return p, conn.LocalAddr().(*net.UDPAddr)
 }
 
@@ -51,7 +51,7 @@
 	got := make(chan Message, 10)
 	strangers := make(chan struct{}, 10)
 	to.Handle(kindWord, func(m Message) { got <- m })
-	to.OnStranger(func() { strangers <- struct{}{} })
+	to.OnUnknownSender(func() { strangers <- struct{}{} })
 	go to.Listen()
 
 	require.True(t, from.Send(kindWord, []byte("hello"), toAddress))
@@ -76,7 +76,7 @@
 func TestLongMessagesAreNotSent(t *testing.T) {
 	var known knownAddresses
 	p, address := listen(t, "box", &known)
-	assert.False(t, p.Send(kindWord, make([]byte, SizeMost), address))
+	assert.False(t, p.Send(kindWord, make([]byte, MaxDatagramBytes), address))
 	assert.True(t, p.Send(kindWord, nil), "nobody to tell is no failure")
 }
 
@@ -84,7 +84,7 @@
 	f.Add([]byte("\n\x01b\x12\x04word\x1a\x01x"))
 	f.Add([]byte("\x12\x05other"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		p := NewPort(Deps{Logger: log.NewNopLogger(), Known: func(netip.AddrPort) bool { return true }})
+		p := NewPort(Deps{Logger: log.NewNopLogger(), IsPeer: func(netip.AddrPort) bool { return true }})
 		p.Handle(kindWord, func(Message) {})
 		p.receive(data, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 5000})
 	})
--- a/pkg/duties/duties_test.go
+++ b/pkg/duties/duties_test.go
@@ -219,7 +219,7 @@
 	})
 }
 
-// What other boxes counted just before that may be heard only after it.
+// What other roster size changed just before that may be heard only after it.
 func TestWindowJustBeforeTheFirstHolderIsReported(t *testing.T) {
 	play(t, func(t *testing.T, cloud *cloudFake, start func() *box) {
 		b := start()
--- a/pkg/loadshare/relays.go
+++ b/pkg/loadshare/relays.go
@@ -27,7 +27,7 @@
 // membersOf reads the roster's entries, in the order in which boxes relay.
 func membersOf(entries []roster.Entry) []member {
 	members := make([]member, 0, len(entries))
-	for _, e := range roster.Ordered(entries) {
+	for _, e := range roster.SortByRank(entries) {
 		if address := e.Address(); address != nil {
 			members = append(members, member{box: e.Box, hall: e.Hall, address: address})
 		}
--- a/pkg/loadshare/sharer.go
+++ b/pkg/loadshare/sharer.go
@@ -28,9 +28,9 @@
 	// Entries lists the boxes, this one included.
 	Entries func() []roster.Entry
 	Logger  log.Logger
-	// Refresh is how often loads are sent again though nothing has changed; zero stands for
+	// RefreshInterval is how often loads are sent again though nothing has changed; zero stands for
 	// refreshDefault.
-	Refresh time.Duration
+	RefreshInterval time.Duration
 }
 
 // Sharer reports this box's loads and, where it is a relay, adds up those of others.
@@ -114,7 +114,7 @@
 
 // Run shares loads until ctx ends.
 func (s *Sharer) Run(ctx context.Context) {
-	ticker := time.NewTicker(cmp.Or(s.Refresh, refreshDefault))
+	ticker := time.NewTicker(cmp.Or(s.RefreshInterval, refreshDefault))
 	defer ticker.Stop()
 	summary := time.NewTimer(0)
 	defer summary.Stop()
--- a/pkg/loadshare/sharer_test.go
+++ b/pkg/loadshare/sharer_test.go
@@ -58,7 +58,7 @@
 	for i, b := range x.boxes {
 		port := datagram.NewPort(datagram.Deps{
 			Box: entries[i].Box, Conn: b.conn, Logger: log.NewNopLogger(),
-			Known: func(a netip.AddrPort) bool { return known[a] },
+			IsPeer: func(a netip.AddrPort) bool { return known[a] },
 		})
 		deps := Deps{
 			Box: entries[i].Box, Hall: entries[i].Hall, Port: port, Balancer: b.balancer, Logger: log.NewNopLogger(),
@@ -166,7 +166,7 @@
 				require.True(t, b.knows(fmt.Sprintf("part-%d", j)), "box %d, part %d", i, j)
 			}
 		}
-	}, func(d *Deps) { d.Refresh = time.Hour })
+	}, func(d *Deps) { d.RefreshInterval = time.Hour })
 }
 
 // Boxes with the fastest links relay, whatever their names.
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -322,8 +322,8 @@
 		after, denied := f.Platform.Calls()
 		seconds := time.Since(began).Seconds() + 1
 		require.Zero(t, denied)
-		require.Less(t, float64(after.Reads-before.Reads), callrate.Default.Reads*seconds)
-		require.Less(t, float64(after.Writes-before.Writes), callrate.Default.Writes*seconds)
+		require.Less(t, float64(after.Reads-before.Reads), callrate.DefaultBudget.ReadsPerSecond*seconds)
+		require.Less(t, float64(after.Writes-before.Writes), callrate.DefaultBudget.WritesPerSecond*seconds)
 		require.Eventually(t, func() bool {
 			a, err := Call(ctx, f.Caller(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 			return err == nil && a.Status == http.StatusOK
--- a/pkg/metering/collector.go
+++ b/pkg/metering/collector.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Total adds up a window. Boxes is how many lives of boxes counted in it.
+// Total adds up a window. Boxes is how many lives of roster size changed in it.
 func (c *Collector) Total(w Window) (total map[OrganisationHash]int, boxes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/metering/metering_test.go
+++ b/pkg/metering/metering_test.go
@@ -121,7 +121,7 @@
 	collecting = []*net.UDPAddr{conn.LocalAddr().(*net.UDPAddr)}
 	teller.last = time.Time{}
 	teller.tell(counter.Changes(time.Now()))
-	buffer := make([]byte, datagram.SizeMost)
+	buffer := make([]byte, datagram.MaxDatagramBytes)
 	counts := 0
 	for range 2 {
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
--- a/pkg/metering/publisher.go
+++ b/pkg/metering/publisher.go
@@ -123,7 +123,7 @@
 func (t *Publisher) recipients() (known, joined []*net.UDPAddr) {
 	addresses := make(map[netip.AddrPort]bool)
 	for _, a := range t.CollectorAddrs() {
-		address := datagram.AddrPortOf(a)
+		address := datagram.CanonicalAddrPort(a)
 		addresses[address] = true
 		if t.known[address] {
 			known = append(known, a)
--- a/pkg/objectstore/client_test.go
+++ b/pkg/objectstore/client_test.go
@@ -50,7 +50,7 @@
 func listOver(t *testing.T, pause time.Duration) (entries []Entry, err error) {
 	synctest.Test(t, func(*testing.T) {
 		list := "[" + strings.Repeat(" ", 50) + "]"
-		c := NewClientOver(slowTransport{list: list, pause: pause}, "http://platform.example", "", callrate.Default)
+		c := NewClientOver(slowTransport{list: list, pause: pause}, "http://platform.example", "", callrate.DefaultBudget)
 		entries, err = c.List(context.Background(), "prefix")
 	})
 	return entries, err
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -197,7 +197,7 @@
 
 func gated(p *standin.Server) (*gate, *client) {
 	g := &gate{next: p.Transport()}
-	return g, newClient(objectstore.NewClientOver(g, "http://platform", "", callrate.Default))
+	return g, newClient(objectstore.NewClientOver(g, "http://platform", "", callrate.DefaultBudget))
 }
 
 func TestPausedWriterLosesItsPlace(t *testing.T) {
--- a/pkg/quarantine/message.go
+++ b/pkg/quarantine/message.go
@@ -11,7 +11,7 @@
 )
 
 // messageMost bounds the items of a message, in bytes; a datagram holds the rest of it too.
-const messageMost = datagram.SizeMost - 512
+const messageMost = datagram.MaxDatagramBytes - 512
 
 // MalformedItemError says that an item of another box can't be read.
 type MalformedItemError struct{ Reason string }
--- a/pkg/quarantine/sharer_test.go
+++ b/pkg/quarantine/sharer_test.go
@@ -117,7 +117,7 @@
 	self := conn.LocalAddr().(*net.UDPAddr)
 	port := datagram.NewPort(datagram.Deps{
 		Box: fmt.Sprint("box-", len(b.list)), Conn: &lossyConn{PacketConn: conn, lost: b.lost}, Logger: log.NewNopLogger(),
-		Known: func(netip.AddrPort) bool { return true },
+		IsPeer: func(netip.AddrPort) bool { return true },
 	})
 	q := New(Deps{Port: port, Peers: func() []*net.UDPAddr { return b.others(self) }, Store: b.store, Timeout: time.Second, Logger: log.NewNopLogger()})
 	b.mu.Lock()
--- a/pkg/roster/level.go
+++ b/pkg/roster/level.go
@@ -14,9 +14,9 @@
 // LowestLevel is the lowest level of forms that any box reads, this one's at the most.
 func (r *Roster) LowestLevel() int { return lowestLevel(r.Entries()) }
 
-// EarlierBoxes names boxes, some at the most, that read less than this one: those whose build is yet to
+// OlderBuilds names boxes, some at the most, that read less than this one: those whose build is yet to
 // be replaced.
-func (r *Roster) EarlierBoxes(most int) []string {
+func (r *Roster) OlderBuilds(most int) []string {
 	names := []string{}
 	for _, e := range r.Entries() {
 		if len(names) < most && !forms.Whole(e.Level) {
--- a/pkg/roster/level_test.go
+++ b/pkg/roster/level_test.go
@@ -16,8 +16,8 @@
 	assert.Equal(t, forms.Level, r.LowestLevel())
 	r.install([]Entry{{Box: "a", Level: forms.Level}, {Box: "b"}, {Box: "c", Level: forms.Level + 1}}, 1, false)
 	assert.Equal(t, forms.LevelFirst, r.LowestLevel())
-	assert.Equal(t, []string{"b"}, r.EarlierBoxes(9))
-	assert.Empty(t, r.EarlierBoxes(0))
+	assert.Equal(t, []string{"b"}, r.OlderBuilds(9))
+	assert.Empty(t, r.OlderBuilds(0))
 	r.install([]Entry{{Box: "a", Level: forms.Level}, {Box: "b", Level: forms.Level}}, 2, false)
 	assert.Equal(t, forms.Level, r.LowestLevel())
 }
--- a/pkg/roster/read.go
+++ b/pkg/roster/read.go
@@ -11,17 +11,17 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// Read enters this box if it is not entered yet, reads the others, and returns the
+// Refresh enters this box if it is not entered yet, reads the others, and returns the
 // store's revision.
-func (r *Roster) Read(ctx context.Context) (uint64, error) {
+func (r *Roster) Refresh(ctx context.Context) (uint64, error) {
 	r.enter(ctx)
 	return r.read(ctx, false)
 }
 
-// Look enters this box if it is not entered yet, and reads some of the others as they were some
+// RefreshPageStale enters this box if it is not entered yet, and reads some of the others as they were some
 // seconds ago at most, which costs little however many there are. Neither waits for the other. It
 // returns whether that made any box known.
-func (r *Roster) Look(ctx context.Context) (bool, error) {
+func (r *Roster) RefreshPageStale(ctx context.Context) (bool, error) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { r.enter(ctx) })
@@ -30,8 +30,8 @@
 	return r.Count() > before, err
 }
 
-// LookNow is Look without what is some seconds old.
-func (r *Roster) LookNow(ctx context.Context) error {
+// RefreshPage is RefreshPageStale without what is some seconds old.
+func (r *Roster) RefreshPage(ctx context.Context) error {
 	r.enter(ctx)
 	_, err := r.readSome(ctx, false)
 	return err
@@ -41,19 +41,19 @@
 // check by turns, and those that follow them when they are gone.
 const checkersWhole = 8
 
-// Check enters this box if it is not entered yet and returns the store's revision. The first boxes
+// RefreshByRank enters this box if it is not entered yet and returns the store's revision. The first boxes
 // in order read all others; the rest, which check where they hear of no other check, as many as the
 // store gives at once.
-func (r *Roster) Check(ctx context.Context) (uint64, error) {
+func (r *Roster) RefreshByRank(ctx context.Context) (uint64, error) {
 	if r.Rank() < checkersWhole {
-		return r.Read(ctx)
+		return r.Refresh(ctx)
 	}
 	r.enter(ctx)
 	return r.readSome(ctx, false)
 }
 
-// LookAll reads all others as they were some seconds ago at most.
-func (r *Roster) LookAll(ctx context.Context) (bool, error) {
+// RefreshStale reads all others as they were some seconds ago at most.
+func (r *Roster) RefreshStale(ctx context.Context) (bool, error) {
 	before := r.Count()
 	_, err := r.read(ctx, true)
 	return r.Count() > before, err
@@ -62,7 +62,7 @@
 func (r *Roster) readSome(ctx context.Context, stale bool) (uint64, error) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
-	entries, more, revision, err := r.store.Some(ctx, stale)
+	entries, more, revision, err := r.store.ListPage(ctx, stale)
 	switch {
 	case err != nil:
 		return 0, err
@@ -102,35 +102,35 @@
 	}
 }
 
-// Partial tells whether the store gives only some of the boxes at once.
-func (r *Roster) Partial() bool {
+// ListTruncated tells whether the store gives only some of the boxes at once.
+func (r *Roster) ListTruncated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.partial
 }
 
-// Whole tells whether all boxes have been read once.
-func (r *Roster) Whole() bool {
+// Complete tells whether all boxes have been read once.
+func (r *Roster) Complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.whole
 }
 
-// Copy is all boxes as they were at a revision of the store; false while only some are known.
-func (r *Roster) Copy() (Copy, bool) {
+// Snapshot is all boxes as they were at a revision of the store; false while only some are known.
+func (r *Roster) Snapshot() (Snapshot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Copy{Entries: r.entries, Revision: r.revision}, r.whole
+	return Snapshot{Entries: r.entries, Revision: r.revision}, r.whole
 }
 
-// Copy is what one box knows of the others, as it is sent to another.
-type Copy struct {
+// Snapshot is what one box knows of the others, as it is sent to another.
+type Snapshot struct {
 	Entries  []Entry
 	Revision uint64
 }
 
-// Take takes in what another box knows. It returns whether that made any box known.
-func (r *Roster) Take(c Copy) bool {
+// ApplySnapshot takes in what another box knows. It returns whether that made any box known.
+func (r *Roster) ApplySnapshot(c Snapshot) bool {
 	before := r.Count()
 	r.set(c.Entries, c.Revision, true)
 	r.onChange()
@@ -140,7 +140,7 @@
 func (r *Roster) read(ctx context.Context, stale bool) (uint64, error) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
-	entries, revision, err := r.store.Boxes(ctx, stale)
+	entries, revision, err := r.store.List(ctx, stale)
 	if err != nil {
 		return 0, err
 	}
@@ -160,7 +160,7 @@
 	}
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
-	if err := r.store.Enter(ctx, r.self); err != nil {
+	if err := r.store.Register(ctx, r.self); err != nil {
 		_ = level.Info(r.logger).Log("msg", "not entered in the roster", "box", r.self.Box, "err", err, "outcome", "tried again with the next check")
 		return
 	}
@@ -187,7 +187,7 @@
 		entries = append(entries, r.self)
 	}
 	peers, known, hosts := addressesOf(behind(entries, r.self.Box), r.self.Box)
-	ordered := Ordered(entries)
+	ordered := SortByRank(entries)
 	providers, rank := providersIn(ordered, r.self), placeOf(ordered, r.self)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +201,7 @@
 		_ = level.Info(r.logger).Log("msg", "lowest level of forms", "level", now, "before", before, "own", forms.Level, "boxes", len(entries))
 	}
 	if len(entries) != len(r.entries) {
-		_ = level.Info(r.logger).Log("msg", "boxes counted", "count", len(entries), "before", len(r.entries), "revision", revision, "stale", stale)
+		_ = level.Info(r.logger).Log("msg", "roster size changed", "count", len(entries), "before", len(r.entries), "revision", revision, "stale", stale)
 	}
 	r.entries, r.revision, r.fresh = entries, max(revision, r.revision), r.fresh || !stale
 	r.peers, r.known, r.hosts, r.ordered = peers, known, hosts, ordered
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -46,15 +46,15 @@
 
 // Store keeps the entries.
 type Store interface {
-	// Enter writes an entry over any older one of the same box.
-	Enter(ctx context.Context, e Entry) error
-	// Leave takes an entry out if it is still this incarnation's.
-	Leave(ctx context.Context, e Entry) error
-	// Boxes lists the entries and the store's revision at that moment. A stale list may be
+	// Register writes an entry over any older one of the same box.
+	Register(ctx context.Context, e Entry) error
+	// Deregister removes an entry if it is still this incarnation's.
+	Deregister(ctx context.Context, e Entry) error
+	// List lists the entries and the store's revision at that moment. A stale list may be
 	// seconds old, but it is cheap and bound by no rate.
-	Boxes(ctx context.Context, stale bool) (entries []Entry, revision uint64, err error)
-	// Some lists as many as the store gives at once, and whether there are more.
-	Some(ctx context.Context, stale bool) (entries []Entry, more bool, revision uint64, err error)
+	List(ctx context.Context, stale bool) (entries []Entry, revision uint64, err error)
+	// ListPage lists as many as the store gives at once, and whether there are more.
+	ListPage(ctx context.Context, stale bool) (entries []Entry, more bool, revision uint64, err error)
 }
 
 // Roster is what this box knows of the others.
@@ -93,8 +93,8 @@
 	return &Roster{store: store, self: self, limits: limits, logger: logger, onChange: func() {}, entries: []Entry{self}, ordered: []Entry{self}, rank: rankUnknown}
 }
 
-// OnChange sets who is told that the boxes have been read. It is set before the first reading.
-func (r *Roster) OnChange(f func()) { r.onChange = f }
+// OnRefresh sets who is told that the boxes have been read. It is set before the first reading.
+func (r *Roster) OnRefresh(f func()) { r.onChange = f }
 
 // Count is the number of boxes, this one included.
 func (r *Roster) Count() int {
@@ -118,9 +118,9 @@
 	return r.entries
 }
 
-// Ordered lists the boxes in the order in which they read and relay for others. Callers must
+// ListByRank lists the boxes in the order in which they read and relay for others. Callers must
 // not change the list.
-func (r *Roster) Ordered() []Entry {
+func (r *Roster) ListByRank() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ordered
@@ -139,31 +139,31 @@
 // Incarnation is that of this box's process.
 func (r *Roster) Incarnation() uint64 { return r.self.Incarnation }
 
-// Known tells whether an address is that of another box.
-func (r *Roster) Known(a netip.AddrPort) bool {
+// IsPeer tells whether an address is that of another box.
+func (r *Roster) IsPeer(a netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known[a]
 }
 
-// KnownHost tells whether another box has an IP.
-func (r *Roster) KnownHost(ip netip.Addr) bool {
+// IsPeerHost tells whether another box has an IP.
+func (r *Roster) IsPeerHost(ip netip.Addr) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hosts[ip.Unmap()]
 }
 
-// Reader tells whether this box is one of the few that watch the store for all. A box that has
+// IsReader tells whether this box is one of the few that watch the store for all. A box that has
 // only seen the others as they were some time ago is none yet: more may have entered. Of 985 that
 // started at once dozens took themselves for the first ones.
-func (r *Roster) Reader() bool {
+func (r *Roster) IsReader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fresh && r.rank < readers
 }
 
-// MayRead tells whether this box would be a reader, or is alone, by what it has seen.
-func (r *Roster) MayRead() bool {
+// IsReaderCandidate tells whether this box would be a reader, or is alone, by what it has seen.
+func (r *Roster) IsReaderCandidate() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries) == 1 || r.rank < readers
@@ -198,7 +198,7 @@
 			continue
 		}
 		peers = append(peers, a)
-		address := datagram.AddrPortOf(a)
+		address := datagram.CanonicalAddrPort(a)
 		known[address] = true
 		hosts[address.Addr()] = true
 	}
@@ -225,11 +225,11 @@
 	return 1
 }
 
-// Leave takes this box out.
-func (r *Roster) Leave(ctx context.Context) {
+// Deregister takes this box out.
+func (r *Roster) Deregister(ctx context.Context) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
 	// An entry that stays is written over at the next start.
-	err := r.store.Leave(ctx, r.self)
+	err := r.store.Deregister(ctx, r.self)
 	_ = level.Info(r.logger).Log("msg", "left the roster", "box", r.self.Box, "err", err)
 }
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -27,7 +27,7 @@
 	revision uint64
 }
 
-func (s *fakeStore) Enter(_ context.Context, e Entry) error {
+func (s *fakeStore) Register(_ context.Context, e Entry) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (s *fakeStore) Leave(_ context.Context, e Entry) error {
+func (s *fakeStore) Deregister(_ context.Context, e Entry) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[e.Box].Incarnation == e.Incarnation {
@@ -47,12 +47,12 @@
 	return s.err
 }
 
-func (s *fakeStore) Some(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
-	entries, revision, err := s.Boxes(ctx, stale)
+func (s *fakeStore) ListPage(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
+	entries, revision, err := s.List(ctx, stale)
 	return entries, false, revision, err
 }
 
-func (s *fakeStore) Boxes(_ context.Context, _ bool) ([]Entry, uint64, error) {
+func (s *fakeStore) List(_ context.Context, _ bool) ([]Entry, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]Entry, 0, len(s.entries))
@@ -71,18 +71,18 @@
 	boxes := make([]*Roster, 10)
 	for i := range boxes {
 		boxes[i] = box(store, i)
-		_, err := boxes[i].Read(context.Background())
+		_, err := boxes[i].Refresh(context.Background())
 		require.NoError(t, err)
 	}
 	watching := 0
 	first := make(map[string]int)
 	for _, b := range boxes {
-		_, err := b.Read(context.Background())
+		_, err := b.Refresh(context.Background())
 		require.NoError(t, err)
 		assert.Equal(t, 10, b.Count())
 		require.Len(t, b.Peers(), 9)
 		first[b.Peers()[0].String()]++
-		if b.Reader() {
+		if b.IsReader() {
 			watching++
 		}
 	}
@@ -94,19 +94,19 @@
 func TestStoreThatFails(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry), err: errors.New("away")}
 	b := box(store, 1)
-	_, err := b.Read(context.Background())
+	_, err := b.Refresh(context.Background())
 	assert.Error(t, err)
 	assert.Equal(t, 1, b.Count())
-	assert.False(t, b.Reader(), "it does not know yet that it is alone")
+	assert.False(t, b.IsReader(), "it does not know yet that it is alone")
 	store.err = nil
-	_, err = b.Look(context.Background())
+	_, err = b.RefreshPageStale(context.Background())
 	require.NoError(t, err)
-	assert.False(t, b.Reader(), "a stale reading does not tell either")
+	assert.False(t, b.IsReader(), "a stale reading does not tell either")
 	store.revision = 8
-	revision, err := b.Read(context.Background())
+	revision, err := b.Refresh(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, uint64(8), revision)
-	assert.True(t, b.Reader(), "alone it watches for itself")
+	assert.True(t, b.IsReader(), "alone it watches for itself")
 }
 
 // Hundreds of boxes that start at once must not all take themselves for the first one.
@@ -116,13 +116,13 @@
 	for i := range 5 {
 		b := box(store, i)
 		assert.Greater(t, b.Rank(), 1000)
-		assert.False(t, b.Reader())
+		assert.False(t, b.IsReader())
 		boxes = append(boxes, b)
 	}
 	ranks := make(map[int]bool)
 	for range 2 {
 		for _, b := range boxes {
-			_, err := b.Read(t.Context())
+			_, err := b.Refresh(t.Context())
 			require.NoError(t, err)
 			ranks[b.Rank()] = true
 		}
@@ -134,32 +134,32 @@
 func TestStaleReadingsUndoNothing(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry), revision: 7}
 	a, b := box(store, 1), box(store, 2)
-	_, err := a.Read(t.Context())
+	_, err := a.Refresh(t.Context())
 	require.NoError(t, err)
-	grown, err := b.Look(t.Context())
+	grown, err := b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.True(t, grown)
 	assert.Equal(t, 2, b.Count())
-	grown, err = b.Look(t.Context())
+	grown, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.False(t, grown, "it was known")
 	store.revision = 3
 	delete(store.entries, "box-01")
 	delete(store.entries, "box-02")
-	_, err = b.Look(t.Context())
+	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, 2, b.Count(), "older than what is known")
 	store.revision = 9
 	entered := store.entered
-	_, err = b.Look(t.Context())
+	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, 1, b.Count())
-	_, err = b.Look(t.Context())
+	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, entered, store.entered, "only a fresh reading tells that it was taken out")
-	_, err = b.Read(t.Context())
+	_, err = b.Refresh(t.Context())
 	require.NoError(t, err)
-	_, err = b.Read(t.Context())
+	_, err = b.Refresh(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, entered+1, store.entered)
 }
@@ -167,11 +167,11 @@
 func TestLaterLifeKeepsItsEntry(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	old, young := box(store, 1), box(store, 1)
-	_, _ = old.Read(context.Background())
-	_, _ = young.Read(context.Background())
-	old.Leave(context.Background())
+	_, _ = old.Refresh(context.Background())
+	_, _ = young.Refresh(context.Background())
+	old.Deregister(context.Background())
 	assert.Len(t, store.entries, 1)
-	young.Leave(context.Background())
+	young.Deregister(context.Background())
 	assert.Empty(t, store.entries)
 }
 
@@ -189,13 +189,13 @@
 	}
 	for range 2 {
 		for _, b := range boxes {
-			_, err := b.Read(context.Background())
+			_, err := b.Refresh(context.Background())
 			require.NoError(t, err)
 		}
 	}
 	reading := 0
 	for _, b := range boxes {
-		if b.Reader() {
+		if b.IsReader() {
 			reading++
 			assert.Equal(t, 200.0, b.self.LinkMbps)
 		}
@@ -210,15 +210,15 @@
 	whole int
 }
 
-func (s *pagedStore) Some(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
-	entries, revision, err := s.fakeStore.Boxes(ctx, stale)
+func (s *pagedStore) ListPage(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
+	entries, revision, err := s.fakeStore.List(ctx, stale)
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Box, b.Box) })
 	return entries[:min(s.page, len(entries))], len(entries) > s.page, revision, err
 }
 
-func (s *pagedStore) Boxes(ctx context.Context, stale bool) ([]Entry, uint64, error) {
+func (s *pagedStore) List(ctx context.Context, stale bool) ([]Entry, uint64, error) {
 	s.whole++
-	return s.fakeStore.Boxes(ctx, stale)
+	return s.fakeStore.List(ctx, stale)
 }
 
 // Of many boxes that start at once few read all entries, however many there are.
@@ -232,11 +232,11 @@
 		}
 		may := 0
 		for _, b := range boxes {
-			_, err := b.Look(t.Context())
+			_, err := b.RefreshPageStale(t.Context())
 			require.NoError(t, err)
-			assert.False(t, b.Whole())
-			assert.False(t, b.Reader(), "not by what some entries tell")
-			if b.MayRead() {
+			assert.False(t, b.Complete())
+			assert.False(t, b.IsReader(), "not by what some entries tell")
+			if b.IsReaderCandidate() {
 				may++
 			}
 		}
@@ -244,7 +244,7 @@
 		checks := 0
 		for _, b := range boxes {
 			if b.Rank() >= checkersWhole {
-				_, err := b.Check(t.Context())
+				_, err := b.RefreshByRank(t.Context())
 				require.NoError(t, err)
 				checks++
 			}
@@ -252,10 +252,10 @@
 		assert.Greater(t, checks, n/2)
 		assert.Zero(t, store.whole, "also where they check the store")
 		assert.LessOrEqual(t, may, 2*n*readers/store.page, "those that would be readers among the entries seen")
-		all, _, err := store.fakeStore.Boxes(t.Context(), false)
+		all, _, err := store.fakeStore.List(t.Context(), false)
 		require.NoError(t, err)
-		assert.True(t, boxes[n-1].Take(Copy{Entries: all, Revision: 7}))
+		assert.True(t, boxes[n-1].ApplySnapshot(Snapshot{Entries: all, Revision: 7}))
 		assert.Equal(t, n, boxes[n-1].Count())
-		assert.True(t, boxes[n-1].Whole())
+		assert.True(t, boxes[n-1].Complete())
 	}
 }
--- a/pkg/roster/sweep.go
+++ b/pkg/roster/sweep.go
@@ -59,7 +59,7 @@
 // NewSweeper returns a sweeper that hears the port's messages from now on.
 func NewSweeper(r *Roster, port *datagram.Port, logger log.Logger) *Sweeper {
 	s := &Sweeper{roster: r, port: port, logger: logger, now: time.Now, heard: make(map[string]time.Time), silent: make(map[string]silentBox)}
-	port.OnHeard(s.hear)
+	port.OnReceive(s.hear)
 	port.Handle(kindPing, func(m datagram.Message) { port.Send(kindPong, nil, m.From) })
 	port.Handle(kindPong, func(datagram.Message) {})
 	return s
@@ -144,6 +144,6 @@
 func (r *Roster) remove(ctx context.Context, e Entry) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
-	err := r.store.Leave(ctx, e)
+	err := r.store.Deregister(ctx, e)
 	_ = level.Info(r.logger).Log("msg", "box taken out of the roster", "box", e.Box, "reason", "it has not answered for long", "err", err)
 }
--- a/pkg/roster/sweep_test.go
+++ b/pkg/roster/sweep_test.go
@@ -27,12 +27,12 @@
 		defer conn.Close()
 		name := fmt.Sprintf("box-%02d", i)
 		r := New(store, Entry{Box: name, Peer: conn.LocalAddr().String()}, stall.Limits{FirstByte: time.Second, Idle: time.Second, Total: time.Second}, log.NewNopLogger())
-		port := datagram.NewPort(datagram.Deps{Box: name, Conn: conn, Logger: log.NewNopLogger(), Known: func(netip.AddrPort) bool { return true }})
+		port := datagram.NewPort(datagram.Deps{Box: name, Conn: conn, Logger: log.NewNopLogger(), IsPeer: func(netip.AddrPort) bool { return true }})
 		sweepers = append(sweepers, NewSweeper(r, port, log.NewNopLogger()))
 	}
 	for range 2 {
 		for _, s := range sweepers {
-			_, err := s.roster.Read(context.Background())
+			_, err := s.roster.Refresh(context.Background())
 			require.NoError(t, err)
 		}
 	}
@@ -64,7 +64,7 @@
 // boxes that are there have answered.
 func sweepFor(t *testing.T, s *Sweeper, c *clock, d time.Duration, alive ...*Sweeper) {
 	for end := c.time().Add(d); c.time().Before(end); c.move(5 * time.Second) {
-		_, _ = s.roster.Read(context.Background())
+		_, _ = s.roster.Refresh(context.Background())
 		s.Sweep(context.Background())
 		for _, other := range alive {
 			require.Eventually(t, func() bool {
@@ -110,7 +110,7 @@
 	withSweepers(t, 3, func(store *fakeStore, sweepers []*Sweeper) {
 		delete(store.entries, "box-01")
 		for range 2 {
-			_, err := sweepers[1].roster.Read(context.Background())
+			_, err := sweepers[1].roster.Refresh(context.Background())
 			require.NoError(t, err)
 		}
 		assert.Contains(t, store.entries, "box-01")
--- a/pkg/roster/tree.go
+++ b/pkg/roster/tree.go
@@ -19,10 +19,10 @@
 	childrenMost  = 32
 )
 
-// Ordered returns the entries in the order in which boxes read and relay for others: those
+// SortByRank returns the entries in the order in which boxes read and relay for others: those
 // with the fastest links first, as these send much more than the others. Boxes that see the
 // same entries agree on it.
-func Ordered(entries []Entry) []Entry {
+func SortByRank(entries []Entry) []Entry {
 	list := slices.Clone(entries)
 	slices.SortFunc(list, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(xxhash.Sum64String(a.Box), xxhash.Sum64String(b.Box)), cmp.Compare(a.Box, b.Box))
@@ -33,7 +33,7 @@
 // ProvidersOf are the boxes that one asks for what it lacks, in order: its parent in the
 // tree of its hall, the root of that tree, and the readers. A reader asks the store.
 func ProvidersOf(entries []Entry, self Entry) []Entry {
-	return providersIn(Ordered(entries), self)
+	return providersIn(SortByRank(entries), self)
 }
 
 // providersIn is ProvidersOf for entries that are in order.
--- a/pkg/roster/tree_test.go
+++ b/pkg/roster/tree_test.go
@@ -82,7 +82,7 @@
 		}
 		for _, e := range entries {
 			for _, p := range providers[e.Box] {
-				assert.Equal(t, p, Ordered([]Entry{e, p})[0], "a box asks those before it")
+				assert.Equal(t, p, SortByRank([]Entry{e, p})[0], "a box asks those before it")
 			}
 			steps(t, providers, e.Box)
 		}
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -143,11 +143,11 @@
 	d.limiter = fleetlimit.New(s.Box.ID, logs.For(logflags.Balancer))
 	balance.SetLimiter(d.limiter)
 	peerLogger := logs.For(logflags.Peer)
-	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerPort, Known: d.roster.Known, Logger: peerLogger})
+	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerPort, IsPeer: d.roster.IsPeer, Logger: peerLogger})
 	d.checker = announce.New(announce.Deps{
-		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, Look: d.look, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
+		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, RefreshRoster: d.look, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
 	})
-	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, Wait: d.snapshotWait})
+	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, ResponseTimeout: d.snapshotWait})
 	d.sweeper = roster.NewSweeper(d.roster, d.peers, peerLogger)
 	d.sharer = loadshare.New(loadshare.Deps{
 		Box: s.Box.ID, Hall: s.Box.Hall, Port: d.peers, Balancer: balance, Entries: d.roster.Entries, Logger: peerLogger,
@@ -163,7 +163,7 @@
 		return nil, oops.In("telemetry").Wrap(err)
 	}
 	d.budget = retry.NewBudget(d.retryLimits())
-	d.roster.OnChange(d.setShares)
+	d.roster.OnRefresh(d.setShares)
 	d.gateway = gateway.New(gateway.Deps{
 		Protocol: a.Protocol, Directory: d.directory, Balancer: balance,
 		Budget: d.budget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
@@ -188,7 +188,7 @@
 // directory up to it.
 func (d *Daemon) checkStore(ctx context.Context) (directory.Check, bool) {
 	asked := clock.Now()
-	revision, err := d.roster.Check(ctx)
+	revision, err := d.roster.RefreshByRank(ctx)
 	if ctx.Err() != nil {
 		return directory.Check{}, false
 	}
@@ -245,7 +245,7 @@
 // within the time that a change may take to be in force.
 func (d *Daemon) checkTiming() announce.Timing {
 	apply := d.settings.Load().Bounds.soonest()
-	return announce.Timing{Every: apply * 45 / 100, Spread: apply * 20 / 100}
+	return announce.Timing{Interval: apply * 45 / 100, Stagger: apply * 20 / 100}
 }
 
 // timing bounds the age of the belief, together with checkTiming.
--- a/pkg/routerd/fleetduties.go
+++ b/pkg/routerd/fleetduties.go
@@ -165,7 +165,7 @@
 func (f *fleetDuties) collecting() []*net.UDPAddr {
 	holder := f.keeper.Holder()
 	var list []*net.UDPAddr
-	for i, e := range f.roster.Ordered() {
+	for i, e := range f.roster.ListByRank() {
 		if e.Box == f.teller.Box || i >= collectors && e.Box != holder {
 			continue
 		}
--- a/pkg/routerd/join.go
+++ b/pkg/routerd/join.go
@@ -65,7 +65,7 @@
 // serveSnapshots lets other boxes ask for what this one knows.
 func (d *Daemon) serveSnapshots(logger log.Logger) {
 	server := snapshot.NewServer(snapshot.ServerDeps{
-		Directory: d.directory, KnownHost: d.roster.KnownHost, OnStranger: d.checker.LookWhoIsThere, Boxes: d.roster.Copy, Logger: logger,
+		Directory: d.directory, IsPeerHost: d.roster.IsPeerHost, OnUnknownHost: d.checker.RequestRosterRefresh, Boxes: d.roster.Snapshot, Logger: logger,
 	})
 	d.snapshotPort = netutil.LimitListener(d.snapshotPort, snapshotsAtOnce)
 	d.snapshotServer = &http.Server{Handler: server.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
@@ -82,7 +82,7 @@
 	wg.Go(func() { d.checker.Run(d.ctx) })
 	wg.Go(func() {
 		d.directory.Follow(d.ctx, directory.Following{
-			Source: d.source, Providers: d.snapshots, Timing: d.timing(), Reader: d.roster.Reader,
+			Source: d.source, Providers: d.snapshots, Timing: d.timing(), Reader: d.roster.IsReader,
 		})
 	})
 	wg.Wait()
@@ -106,18 +106,18 @@
 	if d.roster.Count() == 1 {
 		d.lookNow(ctx)
 	}
-	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.Reader(), "after", clock.Since(begun))
+	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.IsReader(), "after", clock.Since(begun))
 }
 
 // lookOnce looks once who else is there.
 func (d *Daemon) lookOnce(ctx context.Context) error {
-	_, err := d.roster.Look(ctx)
+	_, err := d.roster.RefreshPageStale(ctx)
 	return err
 }
 
 // lookNow looks who else is there now: what was seen so far may be from before the others entered.
 func (d *Daemon) lookNow(ctx context.Context) {
-	if err := d.roster.LookNow(ctx); err != nil {
+	if err := d.roster.RefreshPage(ctx); err != nil {
 		_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "the store is asked")
 	}
 }
@@ -130,10 +130,10 @@
 	defer d.completing.Store(false)
 	var err error
 	switch {
-	case !d.roster.Whole() && !d.roster.MayRead():
+	case !d.roster.Complete() && !d.roster.IsReaderCandidate():
 		_, err = d.fetchRoster(ctx, true)
-	case d.roster.MayRead() && !d.roster.Reader():
-		_, err = d.roster.Read(ctx)
+	case d.roster.IsReaderCandidate() && !d.roster.IsReader():
+		_, err = d.roster.Refresh(ctx)
 	}
 	if err != nil {
 		_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "seen with the next check")
@@ -145,10 +145,10 @@
 func (d *Daemon) fetchRoster(ctx context.Context, first bool) (bool, error) {
 	c, err := d.snapshots.Boxes(ctx, first)
 	if err == nil {
-		return d.roster.Take(c), nil
+		return d.roster.ApplySnapshot(c), nil
 	}
 	_ = level.Info(d.logger).Log("msg", "boxes not had from another box", "err", err, "outcome", "the store is asked")
-	return d.roster.LookAll(ctx)
+	return d.roster.RefreshStale(ctx)
 }
 
 // look looks who else is there. It returns whether that made any box known. While all boxes are being
@@ -170,9 +170,9 @@
 // lookFurther looks at as many boxes as the store gives at once, or asks another box for all where
 // there are more.
 func (d *Daemon) lookFurther(ctx context.Context) (bool, error) {
-	if !d.roster.Partial() {
-		grown, err := d.roster.Look(ctx)
-		if err != nil || !d.roster.Partial() {
+	if !d.roster.ListTruncated() {
+		grown, err := d.roster.RefreshPageStale(ctx)
+		if err != nil || !d.roster.ListTruncated() {
 			return grown, err
 		}
 	}
@@ -182,7 +182,7 @@
 // providers are the addresses of the boxes that this one asks for what it lacks. While it sees
 // nobody it looks first: a connection to the store may have come up late.
 func (d *Daemon) providers() []string {
-	if d.roster.Count() == 1 && !d.roster.Reader() {
+	if d.roster.Count() == 1 && !d.roster.IsReader() {
 		if err := d.lookOnce(d.ctx); err != nil {
 			_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "the store is asked")
 		}
--- a/pkg/routerd/join_test.go
+++ b/pkg/routerd/join_test.go
@@ -23,14 +23,14 @@
 	err      error
 }
 
-func (r *fixedRoster) Enter(context.Context, roster.Entry) error { return r.err }
-func (r *fixedRoster) Leave(context.Context, roster.Entry) error { return r.err }
-func (r *fixedRoster) Some(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
-	entries, revision, err := r.Boxes(ctx, stale)
+func (r *fixedRoster) Register(context.Context, roster.Entry) error   { return r.err }
+func (r *fixedRoster) Deregister(context.Context, roster.Entry) error { return r.err }
+func (r *fixedRoster) ListPage(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
+	entries, revision, err := r.List(ctx, stale)
 	return entries, false, revision, err
 }
 
-func (r *fixedRoster) Boxes(context.Context, bool) ([]roster.Entry, uint64, error) {
+func (r *fixedRoster) List(context.Context, bool) ([]roster.Entry, uint64, error) {
 	r.revision++
 	return r.entries, r.revision, r.err
 }
--- a/pkg/routerd/settings.go
+++ b/pkg/routerd/settings.go
@@ -104,7 +104,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Listen: ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
-		Rates:  callrate.Default,
+		Rates:  callrate.DefaultBudget,
 		Limits: LimitSettings{MemoryMB: 512, Descriptors: 4096},
 		Bounds: BoundSettings{
 			Drain: 2 * time.Second, Apply: 2 * time.Second, Grace: 8 * time.Second,
--- a/pkg/routerd/status.go
+++ b/pkg/routerd/status.go
@@ -49,10 +49,10 @@
 func (d *Daemon) Status() Status {
 	s, v, now := d.settings.Load(), d.directory.View(), clock.Now()
 	status := Status{
-		Box: s.Box.ID, Hall: s.Box.Hall, Version: version.String(), Ready: d.Ready(), Reader: d.roster.Reader(), Boxes: d.roster.Count(),
+		Box: s.Box.ID, Hall: s.Box.Hall, Version: version.String(), Ready: d.Ready(), Reader: d.roster.IsReader(), Boxes: d.roster.Count(),
 		TableAgeMillis: millisSince(v.TableRead, now), ServersAgeMillis: millisSince(v.ServersRead, now),
 		EvacuatedHalls: d.directory.Evacuations().Halls, EvacuationsAgeMillis: millisSince(v.EvacuationsRead, now),
-		FormsLevel: forms.Level, LowestFormsLevel: d.roster.LowestLevel(), EarlierBoxes: d.roster.EarlierBoxes(earlierBoxesMost),
+		FormsLevel: forms.Level, LowestFormsLevel: d.roster.LowestLevel(), EarlierBoxes: d.roster.OlderBuilds(earlierBoxesMost),
 	}
 	if v.Table != nil {
 		status.TableVersion = v.Table.Version
--- a/pkg/routerd/stop.go
+++ b/pkg/routerd/stop.go
@@ -42,7 +42,7 @@
 	_ = d.callerPort.Close()
 	d.connections.closeAll(ctx)
 	d.duties.flush()
-	d.roster.Leave(ctx)
+	d.roster.Deregister(ctx)
 	d.cancel()
 	_ = d.callers.Close()
 	_ = d.ready.Close()
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -91,7 +91,7 @@
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Caller: "127.0.0.1:8080", Peer: "127.0.0.1:8081", Admin: "127.0.0.1:8082"},
-		Platform: Platform{Prefix: "headhill", Rates: callrate.Default},
+		Platform: Platform{Prefix: "headhill", Rates: callrate.DefaultBudget},
 		Peers:    Peers{Mode: PeersTLS},
 		Limits: Limits{
 			Body:          4 << 20,
--- a/pkg/snapshot/boxes_test.go
+++ b/pkg/snapshot/boxes_test.go
@@ -26,9 +26,9 @@
 	}
 	var whole atomic.Bool
 	s := NewServer(ServerDeps{
-		Directory: directory.New(log.NewNopLogger()), Logger: log.NewNopLogger(), OnStranger: func() {},
-		KnownHost: func(netip.Addr) bool { return true },
-		Boxes:     func() (roster.Copy, bool) { return roster.Copy{Entries: entries, Revision: 7}, whole.Load() },
+		Directory: directory.New(log.NewNopLogger()), Logger: log.NewNopLogger(), OnUnknownHost: func() {},
+		IsPeerHost: func(netip.Addr) bool { return true },
+		Boxes:      func() (roster.Snapshot, bool) { return roster.Snapshot{Entries: entries, Revision: 7}, whole.Load() },
 	})
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(server.Close)
@@ -41,5 +41,5 @@
 	time.AfterFunc(300*time.Millisecond, func() { whole.Store(true) })
 	got, err := c.Boxes(t.Context(), true)
 	require.NoError(t, err)
-	assert.Equal(t, roster.Copy{Entries: entries, Revision: 7}, got)
+	assert.Equal(t, roster.Snapshot{Entries: entries, Revision: 7}, got)
 }
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -61,9 +61,9 @@
 type ClientDeps struct {
 	// Providers are the addresses of the boxes to ask, in order.
 	Providers func() []string
-	// Wait is how long they may take together to begin an answer. The source could have been
+	// ResponseTimeout is how long they may take together to begin an answer. The source could have been
 	// asked in that time.
-	Wait func() time.Duration
+	ResponseTimeout func() time.Duration
 }
 
 // NewClient returns a client.
@@ -73,7 +73,7 @@
 		// Questions are rare: a kept connection to each box would cost more than it saves.
 		DisableKeepAlives: true,
 	}
-	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, wait: d.Wait, silent: make(map[string]time.Time)}
+	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, wait: d.ResponseTimeout, silent: make(map[string]time.Time)}
 }
 
 // Table implements directory.Providers.
@@ -131,18 +131,18 @@
 
 // Boxes asks for the boxes that there are: at first for as long as for the rest that a box needs,
 // later once.
-func (c *Client) Boxes(ctx context.Context, first bool) (roster.Copy, error) {
+func (c *Client) Boxes(ctx context.Context, first bool) (roster.Snapshot, error) {
 	more := never
 	if first {
 		more = againAtFirst()
 	}
-	return ask(ctx, c, more, func(ctx context.Context, address string, wait time.Duration) (roster.Copy, error) {
+	return ask(ctx, c, more, func(ctx context.Context, address string, wait time.Duration) (roster.Snapshot, error) {
 		var entries []roster.Entry
 		k, has, err := c.fetch(ctx, address, pathBoxes, question{wait: wait}, func(known) any { return &entries })
 		if err == nil && !has {
 			err = &DamagedError{Address: address, Reason: "it holds no boxes"}
 		}
-		return roster.Copy{Entries: entries, Revision: k.revision}, err
+		return roster.Snapshot{Entries: entries, Revision: k.revision}, err
 	})
 }
 
--- a/pkg/snapshot/earlier_test.go
+++ b/pkg/snapshot/earlier_test.go
@@ -57,8 +57,8 @@
 func TestPartsOfEarlierBuildsAreNotTaken(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(4), revision: 9})
 	s := NewServer(ServerDeps{
-		Directory: d, Logger: log.NewNopLogger(), KnownHost: func(netip.Addr) bool { return true },
-		Boxes: func() (roster.Copy, bool) { return roster.Copy{Entries: []roster.Entry{{Box: "box-1"}}}, true },
+		Directory: d, Logger: log.NewNopLogger(), IsPeerHost: func(netip.Addr) bool { return true },
+		Boxes: func() (roster.Snapshot, bool) { return roster.Snapshot{Entries: []roster.Entry{{Box: "box-1"}}}, true },
 	})
 	for level, taken := range map[string]bool{"": false, strconv.Itoa(forms.Level - 1): false, strconv.Itoa(forms.Level): true, strconv.Itoa(forms.Level + 1): true} {
 		earlier := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/pkg/snapshot/encode.go
+++ b/pkg/snapshot/encode.go
@@ -143,7 +143,7 @@
 	encoded  []byte
 }
 
-func (e *boxEncoder) body(c roster.Copy) ([]byte, error) {
+func (e *boxEncoder) body(c roster.Snapshot) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.encoded != nil && e.revision == c.Revision && e.boxes == len(c.Entries) {
--- a/pkg/snapshot/server.go
+++ b/pkg/snapshot/server.go
@@ -24,7 +24,7 @@
 	known     func(netip.Addr) bool
 	stranger  func()
 	logger    log.Logger
-	boxes     func() (roster.Copy, bool)
+	boxes     func() (roster.Snapshot, bool)
 	table     tableEncoder
 	list      listEncoder
 	roster    boxEncoder
@@ -33,19 +33,19 @@
 // ServerDeps are what a Server is built on.
 type ServerDeps struct {
 	Directory *directory.Directory
-	// KnownHost tells whether an IP is that of another box: nobody else is told anything.
-	KnownHost func(netip.Addr) bool
-	// OnStranger is told that somebody else has asked, who may be a box that has just been
+	// IsPeerHost tells whether an IP is that of another box: nobody else is told anything.
+	IsPeerHost func(netip.Addr) bool
+	// OnUnknownHost is told that somebody else has asked, who may be a box that has just been
 	// added. It must not block.
-	OnStranger func()
+	OnUnknownHost func()
 	// Boxes are those that there are; false while only some are known.
-	Boxes  func() (roster.Copy, bool)
+	Boxes  func() (roster.Snapshot, bool)
 	Logger log.Logger
 }
 
 // NewServer returns a server.
 func NewServer(d ServerDeps) *Server {
-	return &Server{directory: d.Directory, known: d.KnownHost, stranger: d.OnStranger, boxes: d.Boxes, logger: d.Logger}
+	return &Server{directory: d.Directory, known: d.IsPeerHost, stranger: d.OnUnknownHost, boxes: d.Boxes, logger: d.Logger}
 }
 
 // Handler returns the server's handler.
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -111,9 +111,9 @@
 	b := &box{}
 	b.known.Store(true)
 	s := NewServer(ServerDeps{
-		Directory: d, Logger: log.NewNopLogger(), OnStranger: func() { b.strangers.Add(1) },
-		Boxes:     func() (roster.Copy, bool) { return roster.Copy{}, !b.partial.Load() },
-		KnownHost: func(ip netip.Addr) bool { return b.known.Load() && ip.IsLoopback() },
+		Directory: d, Logger: log.NewNopLogger(), OnUnknownHost: func() { b.strangers.Add(1) },
+		Boxes:      func() (roster.Snapshot, bool) { return roster.Snapshot{}, !b.partial.Load() },
+		IsPeerHost: func(ip netip.Addr) bool { return b.known.Load() && ip.IsLoopback() },
 	})
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(server.Close)
@@ -122,7 +122,7 @@
 }
 
 func client(wait time.Duration, addresses ...string) *Client {
-	return NewClient(ClientDeps{Providers: func() []string { return addresses }, Wait: func() time.Duration { return wait }})
+	return NewClient(ClientDeps{Providers: func() []string { return addresses }, ResponseTimeout: func() time.Duration { return wait }})
 }
 
 func loaded(t *testing.T, s *source) *directory.Directory {
--- a/pkg/standin/objectstore/platform.go
+++ b/pkg/standin/objectstore/platform.go
@@ -70,8 +70,8 @@
 		objects: make(map[string]stored),
 		changed: make(chan struct{}),
 		boxes:   make(map[string]objectstore.Box),
-		reads:   rate.NewLimiter(rate.Limit(callrate.Default.Reads), int(callrate.Default.Reads)),
-		writes:  rate.NewLimiter(rate.Limit(callrate.Default.Writes), int(callrate.Default.Writes)),
+		reads:   rate.NewLimiter(rate.Limit(callrate.DefaultBudget.ReadsPerSecond), int(callrate.DefaultBudget.ReadsPerSecond)),
+		writes:  rate.NewLimiter(rate.Limit(callrate.DefaultBudget.WritesPerSecond), int(callrate.DefaultBudget.WritesPerSecond)),
 	}
 	r := httprouter.New()
 	r.GET("/v1/objects", s.guard(s.reads, s.list))
