--- a/pkg/quarantine/message.go
+++ b/pkg/quarantine/message.go
@@ -11,7 +11,7 @@
 )
 
 // maxMessageBytes limits the items of a message, leaving room for the envelope of the datagram.
-const maxMessageBytes = datagram.SizeMost - 512
+const maxMessageBytes = datagram.MaxDatagramBytes - 512
 
 // MalformedItemError reports that an item received from another box is malformed.
 type MalformedItemError struct{ Reason string }
