--- a/cmd/headhill/cmds/cmds.go
+++ b/cmd/headhill/cmds/cmds.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	if outputs != "" {
-		if s.Log.Output, err = logflags.Split(outputs); err != nil {
+		if s.Log.Output, err = logflags.ParseSubsystems(outputs); err != nil {
 			return err
 		}
 	}
--- a/cmd/headhill/cmds/route.go
+++ b/cmd/headhill/cmds/route.go
@@ -36,11 +36,11 @@
 		return err
 	}
 	if outputs != "" {
-		if s.Log.Output, err = logflags.Split(outputs); err != nil {
+		if s.Log.Output, err = logflags.ParseSubsystems(outputs); err != nil {
 			return err
 		}
 	}
-	writer := logflags.NewWriter(w)
+	writer := logflags.NewAsyncWriter(w)
 	defer writer.Close(logsClose)
 	logs := logflags.New(writer, s.Log.Format, s.Log.Level, s.Log.Output)
 	d, err := routerd.New(s, adapter(), logs)
@@ -86,7 +86,7 @@
 	}
 }
 
-func reload(d *routerd.Daemon, file string, logs *logflags.Logs) {
+func reload(d *routerd.Daemon, file string, logs *logflags.Loggers) {
 	s, err := routerd.LoadSettings(file)
 	if err != nil {
 		_ = level.Error(logs.For(logflags.Box)).Log("msg", "settings not reloaded", "err", err, "outcome", "the old ones stay in force")
--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -74,7 +74,7 @@
 	h.router.GET(pathHealth, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		_, _ = io.WriteString(w, "ok\n")
 	})
-	h.router.GET(readiness.Path, readiness.Handle(d.Ready))
+	h.router.GET(readiness.Path, readiness.Handler(d.Ready))
 	h.router.Handler(http.MethodGet, pathMetrics, d.Metrics.Handler())
 	return h
 }
--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -65,7 +65,7 @@
 }
 
 // New opens a box's ports and puts its parts together. Nothing runs before Start.
-func New(s settings.Settings, logs *logflags.Logs) (*Box, error) {
+func New(s settings.Settings, logs *logflags.Loggers) (*Box, error) {
 	security, err := peer.LoadSecurity(s.Peers)
 	if err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 	}
 }
 
-func (b *Box) assemble(logs *logflags.Logs) {
+func (b *Box) assemble(logs *logflags.Loggers) {
 	s := b.settings
-	b.platform = objectstore.NewClient(s.Platform.URL, s.Platform.Token, s.Platform.Rates)
+	b.platform = objectstore.NewClient(s.Platform.URL, s.Platform.Token, s.Platform.CallBudget)
 	b.store = config.NewStore(b.platform, s.Platform.Prefix, logs.For(logflags.Config))
 	b.tracker = membership.NewTracker(objectstore.Box{
 		ID: s.Box.ID, Hall: s.Box.Hall, Region: s.Box.Region,
--- a/pkg/box/follow.go
+++ b/pkg/box/follow.go
@@ -46,7 +46,7 @@
 
 func (b *Box) setRoster(boxes []objectstore.Box) {
 	b.tracker.SetRoster(time.Now(), boxes)
-	b.platform.SetBudget(b.settings.Platform.Rates.Share(len(boxes)))
+	b.platform.SetBudget(b.settings.Platform.CallBudget.Share(len(boxes)))
 }
 
 // askPeers learns of boxes while the platform is away: from a live peer, or from
--- a/pkg/box/stop.go
+++ b/pkg/box/stop.go
@@ -16,7 +16,7 @@
 	b.mu.Lock()
 	b.stopping = true
 	b.mu.Unlock()
-	level.Info(b.logger).Log("msg", "stopping", "in_progress", b.entry.InFlight(), "limit", b.settings.Limits.Stop)
+	level.Info(b.logger).Log("msg", "stopping", "in_progress", b.entry.InFlight(), "limit", b.settings.Limits.StopTimeout)
 	b.tracker.SetServing(time.Now(), false)
 	b.links.Beat()
 	ctx, cancel := b.stopContext(ctx)
@@ -35,10 +35,10 @@
 }
 
 func (b *Box) stopContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	if b.settings.Limits.Stop <= 0 {
+	if b.settings.Limits.StopTimeout <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, b.settings.Limits.Stop)
+	return context.WithTimeout(ctx, b.settings.Limits.StopTimeout)
 }
 
 // drain waits until no reservation of this box is left with any owner.
--- a/pkg/entry/finish.go
+++ b/pkg/entry/finish.go
@@ -54,26 +54,26 @@
 func (h *Handler) record(req *request, outcome api.Outcome, err error) {
 	now := time.Now()
 	t := telemetry.Request{
-		Class:        req.class.Name,
-		Organisation: req.org.Name,
-		Outcome:      string(outcome),
-		Status:       req.status,
-		Total:        now.Sub(req.arrival),
-		Between:      req.interTokenLatency(),
-		Tokens:       req.tokenCount,
-		Wasted:       req.wastedTokens,
-		Retries:      max(0, len(req.servers)-1),
+		Class:             req.class.Name,
+		Organisation:      req.org.Name,
+		Outcome:           string(outcome),
+		Status:            req.status,
+		Total:             now.Sub(req.arrival),
+		InterTokenLatency: req.interTokenLatency(),
+		Tokens:            req.tokenCount,
+		WastedTokens:      req.wastedTokens,
+		Retries:           max(0, len(req.servers)-1),
 	}
 	if !req.grantedAt.IsZero() {
 		t.QueueWait = req.grantedAt.Sub(req.arrival)
 	}
 	if !req.firstTokenAt.IsZero() {
-		t.FirstToken = req.firstTokenAt.Sub(req.arrival)
+		t.TimeToFirstToken = req.firstTokenAt.Sub(req.arrival)
 	}
 	if outcome != api.OutcomeDone {
-		t.Wasted += req.tokenCount
+		t.WastedTokens += req.tokenCount
 	}
-	t.Attained = outcome == api.OutcomeDone && meetsTarget(t.FirstToken, req.class.FirstToken) && meetsTarget(t.Between, req.class.Between)
+	t.Attained = outcome == api.OutcomeDone && meetsTarget(t.TimeToFirstToken, req.class.FirstToken) && meetsTarget(t.InterTokenLatency, req.class.Between)
 	h.Metrics.Record(t)
 	logger := level.Info(h.Logger)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	_ = logger.Log("msg", "request", "id", req.id, "class", t.Class, "organisation", t.Organisation,
 		"service", req.service.Name, "servers", strings.Join(req.servers, ","), "wait", t.QueueWait,
-		"first", t.FirstToken, "between", t.Between, "total", t.Total, "tokens", t.Tokens,
+		"first", t.TimeToFirstToken, "between", t.InterTokenLatency, "total", t.Total, "tokens", t.Tokens,
 		"outcome", outcome, "err", err)
 }
 
--- a/pkg/entry/handler.go
+++ b/pkg/entry/handler.go
@@ -64,7 +64,7 @@
 	for _, m := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
 		h.router.Handle(m, pathServices, h.admit(h.servePlain, h.authenticate))
 	}
-	h.router.GET(readiness.Path, readiness.Handle(d.Ready))
+	h.router.GET(readiness.Path, readiness.Handler(d.Ready))
 	h.router.NotFound = http.HandlerFunc(notFound)
 	h.router.HandleMethodNotAllowed = false
 	return h
@@ -81,7 +81,7 @@
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: h.Limits.HeaderTimeout,
-		MaxHeaderBytes:    h.Limits.Header,
+		MaxHeaderBytes:    h.Limits.MaxHeaderBytes,
 		IdleTimeout:       2 * time.Minute,
 	}
 }
@@ -105,7 +105,7 @@
 		req := newRequest(p)
 		w.Header().Set(api.HeaderRequestID, req.id)
 		defer h.inFlight.Add(-1)
-		if h.inFlight.Add(1) > int64(h.Limits.Requests) {
+		if h.inFlight.Add(1) > int64(h.Limits.MaxRequests) {
 			h.fail(w, req, &RequestError{
 				Status: http.StatusServiceUnavailable, Type: typeBusy,
 				Message: "this box holds as many requests as it may: ask again",
@@ -188,10 +188,10 @@
 
 // readBody reads the body within the limits on size, time and memory.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
-	if h.bodyBytes.Load() > int64(h.Limits.Held) {
+	if h.bodyBytes.Load() > int64(h.Limits.MaxHeldBytes) {
 		return &RequestError{Status: http.StatusServiceUnavailable, Type: typeBusy, Message: "this box holds as much as it may: ask again"}
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.Limits.Body)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(h.Limits.MaxBodyBytes)))
 	req.body = body
 	h.bodyBytes.Add(int64(len(body)))
 	var tooLarge *http.MaxBytesError
--- a/pkg/localfleet/fleet.go
+++ b/pkg/localfleet/fleet.go
@@ -132,7 +132,7 @@
 	s.Box = settings.Box{ID: name, Hall: Hall, Region: "default"}
 	s.Listen = settings.Listen{Caller: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0"}
 	s.Platform.URL = f.PlatformURL
-	s.Peers.Mode = settings.PeersPlain
+	s.Peers.Mode = settings.PeerModePlain
 	for _, b := range f.Boxes {
 		s.Peers.Seeds = append(s.Peers.Seeds, b.PeerAddr())
 	}
--- a/pkg/localfleet/security_test.go
+++ b/pkg/localfleet/security_test.go
@@ -80,10 +80,10 @@
 	private, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
 	return settings.Peers{
-		Mode:  settings.PeersTLS,
-		Cert:  a.write(t, box+".pem", "CERTIFICATE", der),
-		Key:   a.write(t, box+".key", "EC PRIVATE KEY", private),
-		Roots: filepath.Join(a.dir, "roots.pem"),
+		Mode:      settings.PeerModeTLS,
+		CertFile:  a.write(t, box+".pem", "CERTIFICATE", der),
+		KeyFile:   a.write(t, box+".key", "EC PRIVATE KEY", private),
+		RootsFile: filepath.Join(a.dir, "roots.pem"),
 	}
 }
 
@@ -125,7 +125,7 @@
 		}
 		address := f.Boxes[0].PeerAddr()
 		creds := func(p settings.Peers) credentials.TransportCredentials {
-			cert, err := tls.LoadX509KeyPair(p.Cert, p.Key)
+			cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 			require.NoError(t, err)
 			pool := x509.NewCertPool()
 			pool.AddCert(ours.cert)
@@ -141,8 +141,8 @@
 func TestCallersAreBoundedAndKeptApart(t *testing.T) {
 	change := func(o *Options) {
 		o.Change = func(s *settings.Settings) {
-			s.Limits.Body = 64 << 10
-			s.Limits.Header = 8 << 10
+			s.Limits.MaxBodyBytes = 64 << 10
+			s.Limits.MaxHeaderBytes = 8 << 10
 			s.Limits.HeaderTimeout = 300 * time.Millisecond
 			s.Limits.BodyTimeout = 300 * time.Millisecond
 		}
--- a/pkg/logflags/logflags.go
+++ b/pkg/logflags/logflags.go
@@ -39,27 +39,27 @@
 	return fmt.Sprintf("no subsystem %q: write %s, or %s", e.Name, strings.Join(subsystems, ", "), allOutput)
 }
 
-// Check tells whether name is a subsystem or "all".
-func Check(name string) error {
+// CheckSubsystem tells whether name is a subsystem or "all".
+func CheckSubsystem(name string) error {
 	if name == allOutput || slices.Contains(subsystems, name) {
 		return nil
 	}
 	return &UnknownSubsystemError{Name: name}
 }
 
-// Split reads a list of subsystems separated by commas.
-func Split(list string) ([]string, error) {
+// ParseSubsystems reads a list of subsystems separated by commas.
+func ParseSubsystems(list string) ([]string, error) {
 	names := strings.Split(list, ",")
 	for _, n := range names {
-		if err := Check(n); err != nil {
+		if err := CheckSubsystem(n); err != nil {
 			return nil, err
 		}
 	}
 	return names, nil
 }
 
-// Logs makes loggers.
-type Logs struct {
+// Loggers makes loggers.
+type Loggers struct {
 	base   log.Logger
 	level  string
 	output []string
@@ -67,18 +67,18 @@
 
 // New returns loggers that write to w, in format logfmt or json, at the level and
 // above; the subsystems in output also log at debug level.
-func New(w io.Writer, format, lvl string, output []string) *Logs {
+func New(w io.Writer, format, lvl string, output []string) *Loggers {
 	w = log.NewSyncWriter(w)
 	base := log.NewLogfmtLogger(w)
 	if format == "json" {
 		base = log.NewJSONLogger(w)
 	}
 	base = log.With(base, "ts", log.DefaultTimestampUTC)
-	return &Logs{base: base, level: lvl, output: output}
+	return &Loggers{base: base, level: lvl, output: output}
 }
 
 // For returns the logger of a subsystem.
-func (l *Logs) For(subsystem string) log.Logger {
+func (l *Loggers) For(subsystem string) log.Logger {
 	lvl := l.level
 	if slices.Contains(l.output, subsystem) || slices.Contains(l.output, allOutput) {
 		lvl = "debug"
--- a/pkg/logflags/settings.go
+++ b/pkg/logflags/settings.go
@@ -19,7 +19,7 @@
 	s.OneOf("format", &l.Format, "logfmt", "json")
 	s.List("output", &l.Output)
 	for _, o := range l.Output {
-		if err := Check(o); err != nil {
+		if err := CheckSubsystem(o); err != nil {
 			s.Problem("output", o, err.Error())
 		}
 	}
--- a/pkg/logflags/writer.go
+++ b/pkg/logflags/writer.go
@@ -16,10 +16,10 @@
 	queuedMost = 1 << 20
 )
 
-// Writer takes lines without ever blocking, and hands them to another writer from
+// AsyncWriter takes lines without ever blocking, and hands them to another writer from
 // a goroutine of its own. What exceeds the bounds on volume is dropped and counted;
 // the count is written as a line as soon as there is room.
-type Writer struct {
+type AsyncWriter struct {
 	to io.Writer
 
 	mu      sync.Mutex
@@ -32,15 +32,15 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer that hands lines to another one.
-func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, tokens: linesBurst, filled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewAsyncWriter returns a writer that hands lines to another one.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	w := &AsyncWriter{to: to, tokens: linesBurst, filled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
 // Write takes one line.
-func (w *Writer) Write(line []byte) (int, error) {
+func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refill(time.Now())
@@ -61,13 +61,13 @@
 	return len(line), nil
 }
 
-func (w *Writer) refill(now time.Time) {
+func (w *AsyncWriter) refill(now time.Time) {
 	w.tokens = min(linesBurst, w.tokens+now.Sub(w.filled).Seconds()*linesPerSecond)
 	w.filled = now
 }
 
 // run hands over what has gathered.
-func (w *Writer) run() {
+func (w *AsyncWriter) run() {
 	defer close(w.done)
 	for range w.wake {
 		w.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 // Close hands over what is left, for at most this long.
-func (w *Writer) Close(most time.Duration) {
+func (w *AsyncWriter) Close(most time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
--- a/pkg/logflags/writer_test.go
+++ b/pkg/logflags/writer_test.go
@@ -34,7 +34,7 @@
 
 func TestWriterNeverBlocks(t *testing.T) {
 	to := &stuck{release: make(chan struct{})}
-	w := NewWriter(to)
+	w := NewAsyncWriter(to)
 	line := []byte("level=info msg=" + strings.Repeat("x", 1000) + "\n")
 	done := make(chan struct{})
 	go func() {
@@ -60,7 +60,7 @@
 
 func TestWriterBoundsAndCountsLines(t *testing.T) {
 	var got bytes.Buffer
-	w := NewWriter(&got)
+	w := NewAsyncWriter(&got)
 	for range 3 * linesBurst {
 		_, _ = io.WriteString(w, "line\n")
 	}
@@ -76,7 +76,7 @@
 
 func TestWriterWritesAllBeforeItCloses(t *testing.T) {
 	var got bytes.Buffer
-	w := NewWriter(&got)
+	w := NewAsyncWriter(&got)
 	for range 100 {
 		_, _ = io.WriteString(w, "line\n")
 	}
--- a/pkg/peer/credentials.go
+++ b/pkg/peer/credentials.go
@@ -32,24 +32,24 @@
 // LoadSecurity reads the keys that the settings name and checks that they fit
 // together. Plain mode has none.
 func LoadSecurity(p settings.Peers) (*Security, error) {
-	if p.Mode == settings.PeersPlain {
+	if p.Mode == settings.PeerModePlain {
 		return &Security{}, nil
 	}
-	cert, err := tls.LoadX509KeyPair(p.Cert, p.Key)
+	cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
-		return nil, &CredentialsError{File: p.Cert, Cause: err}
+		return nil, &CredentialsError{File: p.CertFile, Cause: err}
 	}
-	pem, err := os.ReadFile(p.Roots)
+	pem, err := os.ReadFile(p.RootsFile)
 	if err != nil {
-		return nil, &CredentialsError{File: p.Roots, Cause: err}
+		return nil, &CredentialsError{File: p.RootsFile, Cause: err}
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, &CredentialsError{File: p.Roots, Cause: fmt.Errorf("no certificate in it")}
+		return nil, &CredentialsError{File: p.RootsFile, Cause: fmt.Errorf("no certificate in it")}
 	}
 	_, err = cert.Leaf.Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	if err != nil {
-		return nil, &CredentialsError{File: p.Cert, Cause: err}
+		return nil, &CredentialsError{File: p.CertFile, Cause: err}
 	}
 	return &Security{tls: &tls.Config{
 		Certificates: []tls.Certificate{cert},
--- a/pkg/readiness/readiness.go
+++ b/pkg/readiness/readiness.go
@@ -12,8 +12,8 @@
 // Path is where the question is asked, on the callers' and the operators' port.
 const Path = "/readyz"
 
-// Handle answers 200 while ready holds, and 503 otherwise.
-func Handle(ready func() bool) httprouter.Handle {
+// Handler answers 200 while ready holds, and 503 otherwise.
+func Handler(ready func() bool) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if !ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -117,7 +117,7 @@
 }
 
 // New opens the ports and puts the parts together. Nothing runs before Start.
-func New(s Settings, a Adapter, logs *logflags.Logs) (*Daemon, error) {
+func New(s Settings, a Adapter, logs *logflags.Loggers) (*Daemon, error) {
 	metrics, err := telemetry.New()
 	if err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
@@ -130,12 +130,12 @@
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.directory = directory.New(logs.For(logflags.Directory))
-	d.calls = newStoreCalls(s.Rates)
+	d.calls = newStoreCalls(s.CallBudget)
 	unusable := newLeftOut(logs.For(logflags.Directory))
 	if err := metrics.AddGauges(append(beliefGauges(d.directory), d.calls.gauge(), unusable.gauge())...); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.calls.admit, LeftOut: unusable.note}
+	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.calls.admit, OnUnusableEntry: unusable.note}
 	d.source = a.Source(access)
 	self := roster.Entry{Box: s.Box.ID, Hall: s.Box.Hall, Peer: d.peerPort.LocalAddr().String(), LinkMbps: s.Limits.LinkMbps, Level: forms.Level}
 	d.roster = roster.New(a.Roster(access), self, storeLimits, logs.For(logflags.Directory))
@@ -276,7 +276,7 @@
 // setShares gives this box its parts of what the fleet may do.
 func (d *Daemon) setShares() {
 	d.budget.SetLimits(d.retryLimits())
-	d.calls.rates.SetBudget(d.settings.Load().Rates.Share(d.roster.Count()))
+	d.calls.rates.SetBudget(d.settings.Load().CallBudget.Share(d.roster.Count()))
 	d.duties.orderChanged()
 	d.limiter.SetBoxes(d.roster.Names(), clock.Now())
 }
@@ -322,7 +322,7 @@
 	}
 	d.connections = newConnections(d.callers)
 	questions := httprouter.New()
-	questions.GET(readiness.Path, readiness.Handle(d.Ready))
+	questions.GET(readiness.Path, readiness.Handler(d.Ready))
 	d.ready = &http.Server{Handler: questions, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	figures := httprouter.New()
 	figures.Handler(http.MethodGet, "/metrics", d.metrics.Handler())
--- a/pkg/routerd/recorder.go
+++ b/pkg/routerd/recorder.go
@@ -12,6 +12,6 @@
 func (r recorder) Record(x gateway.Record) {
 	r.metrics.Record(telemetry.Request{
 		Class: x.Route, Organisation: x.Organisation, Outcome: string(x.Outcome), Status: x.Status,
-		FirstToken: x.TimeToFirstEvent, Total: x.Duration, Retries: x.Retries,
+		TimeToFirstToken: x.TimeToFirstEvent, Total: x.Duration, Retries: x.Retries,
 	})
 }
--- a/pkg/routerd/settings.go
+++ b/pkg/routerd/settings.go
@@ -15,11 +15,11 @@
 	Listen ListenSettings
 	// Store is the address of the store that holds routes and servers.
 	Store string
-	// Rates are the calls a second that the store takes from all boxes together.
-	Rates  callrate.Budget
-	Limits LimitSettings
-	Bounds BoundSettings
-	Duties DutySettings
+	// CallBudget are the calls a second that the store takes from all boxes together.
+	CallBudget callrate.Budget
+	Limits     LimitSettings
+	Bounds     BoundSettings
+	Duties     DutySettings
 	// Regions are those of the halls, by hall. One that is not named has none, so that no request
 	// that is bound to regions is served there.
 	Regions map[string]string
@@ -75,8 +75,8 @@
 type DutySettings struct {
 	// Address is where the duties' calls go, "" where the fleet has no duties.
 	Address string
-	// Held names the duties that the fleet has.
-	Held []string
+	// Enabled names the duties that the fleet has.
+	Enabled []string
 	// Lease is the length of the lease.
 	Lease time.Duration
 	// Window is the length of a window whose usage is reported.
@@ -93,19 +93,21 @@
 )
 
 // Has tells whether the fleet has a duty.
-func (d DutySettings) Has(duty string) bool { return d.Address != "" && slices.Contains(d.Held, duty) }
+func (d DutySettings) Has(duty string) bool {
+	return d.Address != "" && slices.Contains(d.Enabled, duty)
+}
 
 // Unknown lists the duties that this program does not know.
 func (d DutySettings) Unknown() []string {
-	return slices.DeleteFunc(slices.Clone(d.Held), func(duty string) bool { return duty == DutyMetering || duty == DutyAutoscale })
+	return slices.DeleteFunc(slices.Clone(d.Enabled), func(duty string) bool { return duty == DutyMetering || duty == DutyAutoscale })
 }
 
 // DefaultSettings returns the settings that stand where the file says nothing.
 func DefaultSettings() Settings {
 	return Settings{
-		Listen: ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
-		Rates:  callrate.Default,
-		Limits: LimitSettings{MemoryMB: 512, Descriptors: 4096},
+		Listen:     ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
+		CallBudget: callrate.Default,
+		Limits:     LimitSettings{MemoryMB: 512, Descriptors: 4096},
 		Bounds: BoundSettings{
 			Drain: 2 * time.Second, Apply: 2 * time.Second, Grace: 8 * time.Second,
 			RetryRatio: 0.1, RetrySlack: 20, RetryWindow: 10 * time.Second,
@@ -158,7 +160,7 @@
 func readStore(s *inifile.Section, to *Settings) {
 	s.Require("address", "write the store's IP and port, as 192.0.2.1:7000")
 	s.AddrPort("address", &to.Store, false)
-	callrate.ReadSettings(s, &to.Rates)
+	callrate.ReadSettings(s, &to.CallBudget)
 	s.Done()
 }
 
@@ -182,7 +184,7 @@
 
 func readDuties(s *inifile.Section, d *DutySettings) {
 	s.AddrPort("address", &d.Address, false)
-	s.List("held", &d.Held)
+	s.List("held", &d.Enabled)
 	s.Duration("lease", &d.Lease, 500*time.Millisecond, time.Minute)
 	s.Duration("window", &d.Window, time.Second, time.Hour)
 	s.Float("work-value", &d.WorkValue, 0, 1e6)
--- a/pkg/routerd/storecalls.go
+++ b/pkg/routerd/storecalls.go
@@ -15,8 +15,8 @@
 	CallRead  CallKind = "read"
 	CallWatch CallKind = "watch"
 	CallWrite CallKind = "write"
-	// CallStale reads what may be seconds old. It costs little and is bound by no rate.
-	CallStale CallKind = "stale read"
+	// CallStaleRead reads what may be seconds old. It costs little and is bound by no rate.
+	CallStaleRead CallKind = "stale read"
 )
 
 // StoreCall says what a call to the store is for.
@@ -35,9 +35,9 @@
 	Address func() string
 	// Admit returns when a call may be made, or with an error if ctx ends before that.
 	Admit func(ctx context.Context, call StoreCall) error
-	// LeftOut is told of each object that can't be used; nil for nobody. The name is "" where
+	// OnUnusableEntry is told of each object that can't be used; nil for nobody. The name is "" where
 	// that can't be read either.
-	LeftOut func(object, name string, err error)
+	OnUnusableEntry func(object, name string, err error)
 }
 
 // storeCalls keeps this box's calls within its share of the store's rates, and counts them.
@@ -53,7 +53,7 @@
 // admit counts a call and waits until it may be made.
 func (s *storeCalls) admit(ctx context.Context, call StoreCall) error {
 	s.counts.add(call.String())
-	if call.Kind == CallStale {
+	if call.Kind == CallStaleRead {
 		return nil
 	}
 	return s.rates.Wait(ctx, call.Kind == CallWrite)
--- a/pkg/routerd/leftout.go
+++ b/pkg/routerd/unusable.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.logged.Add(key, err.Error())
-	_ = level.Warn(l.logger).Log("msg", "entry left out", "object", object, "name", name, "err", err, "outcome", "the others hold")
+	_ = level.Warn(l.logger).Log("msg", "unusable entry skipped", "object", object, "name", name, "err", err, "outcome", "the others hold")
 }
 
 // gauge shows how often entries were left out, by what they are.
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -15,8 +15,8 @@
 
 // TLS modes of the peer port.
 const (
-	PeersTLS   = "tls"
-	PeersPlain = "plain"
+	PeerModeTLS   = "tls"
+	PeerModePlain = "plain"
 )
 
 // Settings are a box's own settings. What the fleet shares is configuration, and
@@ -53,8 +53,8 @@
 	Token string
 	// Prefix stands before every key headhill uses.
 	Prefix string
-	// Rates are the calls a second that the platform takes from all boxes together.
-	Rates callrate.Budget
+	// CallBudget are the calls a second that the platform takes from all boxes together.
+	CallBudget callrate.Budget
 }
 
 // Peers says how boxes talk to each other.
@@ -62,25 +62,25 @@
 	// Seeds are peers to ask while the platform's box list can't be had.
 	Seeds []string
 	Mode  string
-	// Cert, Key and Roots are PEM files: this box's certificate and key, and the
+	// CertFile, KeyFile and RootsFile are PEM files: this box's certificate and key, and the
 	// roots that sign the peers' certificates.
-	Cert, Key, Roots string
+	CertFile, KeyFile, RootsFile string
 }
 
 // Limits bound what callers can make a box hold.
 type Limits struct {
-	// Body bounds a request's body, Header its header, Held the bodies held at a
+	// MaxBodyBytes bounds a request's body, MaxHeaderBytes its header, MaxHeldBytes the bodies held at a
 	// time, all in bytes.
-	Body, Header, Held int
-	// Requests bounds the requests in progress.
-	Requests int
+	MaxBodyBytes, MaxHeaderBytes, MaxHeldBytes int
+	// MaxRequests bounds the requests in progress.
+	MaxRequests int
 	// HeaderTimeout and BodyTimeout bound how long a caller may take to send.
 	HeaderTimeout, BodyTimeout time.Duration
 	// AnswerTimeout bounds the silence of a backend server.
 	AnswerTimeout time.Duration
 	// StopNotice is how long a stopping box still takes new callers, so that the
-	// balancer can notice. Stop bounds a planned stop; zero means no bound.
-	StopNotice, Stop time.Duration
+	// balancer can notice. StopTimeout bounds a planned stop; zero means no bound.
+	StopNotice, StopTimeout time.Duration
 }
 
 var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
@@ -91,17 +91,17 @@
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Caller: "127.0.0.1:8080", Peer: "127.0.0.1:8081", Admin: "127.0.0.1:8082"},
-		Platform: Platform{Prefix: "headhill", Rates: callrate.Default},
-		Peers:    Peers{Mode: PeersTLS},
+		Platform: Platform{Prefix: "headhill", CallBudget: callrate.Default},
+		Peers:    Peers{Mode: PeerModeTLS},
 		Limits: Limits{
-			Body:          4 << 20,
-			Header:        32 << 10,
-			Held:          512 << 20,
-			Requests:      20000,
-			HeaderTimeout: 5 * time.Second,
-			BodyTimeout:   30 * time.Second,
-			AnswerTimeout: 60 * time.Second,
-			StopNotice:    2 * time.Second,
+			MaxBodyBytes:   4 << 20,
+			MaxHeaderBytes: 32 << 10,
+			MaxHeldBytes:   512 << 20,
+			MaxRequests:    20000,
+			HeaderTimeout:  5 * time.Second,
+			BodyTimeout:    30 * time.Second,
+			AnswerTimeout:  60 * time.Second,
+			StopNotice:     2 * time.Second,
 		},
 		Log: logflags.DefaultSettings(),
 	}
@@ -162,7 +162,7 @@
 	s.String("url", &p.URL)
 	s.String("token-file", &p.TokenFile)
 	s.String("prefix", &p.Prefix)
-	callrate.ReadSettings(s, &p.Rates)
+	callrate.ReadSettings(s, &p.CallBudget)
 	if p.URL != "" && !urlForm.MatchString(p.URL) {
 		s.Problem("url", p.URL, "write an http or https URL, as http://192.0.2.1:7000")
 	}
@@ -191,12 +191,12 @@
 
 func readPeers(s *inifile.Section, p *Peers) {
 	s.AddrPorts("seeds", &p.Seeds)
-	s.OneOf("mode", &p.Mode, PeersTLS, PeersPlain)
-	s.String("cert", &p.Cert)
-	s.String("key", &p.Key)
-	s.String("roots", &p.Roots)
-	if p.Mode == PeersTLS {
-		for _, f := range []struct{ key, path string }{{"cert", p.Cert}, {"key", p.Key}, {"roots", p.Roots}} {
+	s.OneOf("mode", &p.Mode, PeerModeTLS, PeerModePlain)
+	s.String("cert", &p.CertFile)
+	s.String("key", &p.KeyFile)
+	s.String("roots", &p.RootsFile)
+	if p.Mode == PeerModeTLS {
+		for _, f := range []struct{ key, path string }{{"cert", p.CertFile}, {"key", p.KeyFile}, {"roots", p.RootsFile}} {
 			checkFile(s, f.key, f.path)
 		}
 	}
@@ -226,14 +226,14 @@
 
 func readLimits(s *inifile.Section, l *Limits) {
 	const most = 1 << 40
-	s.Int("body", &l.Body, 1<<10, 1<<30)
-	s.Int("header", &l.Header, 1<<10, 1<<20)
-	s.Int("held", &l.Held, 1<<20, most)
-	s.Int("requests", &l.Requests, 1, 1<<20)
+	s.Int("body", &l.MaxBodyBytes, 1<<10, 1<<30)
+	s.Int("header", &l.MaxHeaderBytes, 1<<10, 1<<20)
+	s.Int("held", &l.MaxHeldBytes, 1<<20, most)
+	s.Int("requests", &l.MaxRequests, 1, 1<<20)
 	s.Duration("header-timeout", &l.HeaderTimeout, 100*time.Millisecond, time.Minute)
 	s.Duration("body-timeout", &l.BodyTimeout, 100*time.Millisecond, 10*time.Minute)
 	s.Duration("answer-timeout", &l.AnswerTimeout, 100*time.Millisecond, time.Hour)
 	s.Duration("stop-notice", &l.StopNotice, 0, time.Minute)
-	s.Duration("stop", &l.Stop, 0, 24*time.Hour)
+	s.Duration("stop", &l.StopTimeout, 0, 24*time.Hour)
 	s.Done()
 }
--- a/pkg/telemetry/telemetry.go
+++ b/pkg/telemetry/telemetry.go
@@ -131,14 +131,14 @@
 	Organisation string
 	Outcome      string
 	// Status is the HTTP status that the caller got.
-	Status     int
-	QueueWait  time.Duration
-	FirstToken time.Duration
-	Between    time.Duration
-	Total      time.Duration
-	Tokens     int
-	Wasted     int
-	Retries    int
+	Status            int
+	QueueWait         time.Duration
+	TimeToFirstToken  time.Duration
+	InterTokenLatency time.Duration
+	Total             time.Duration
+	Tokens            int
+	WastedTokens      int
+	Retries           int
 	// Attained says that the answer was within its class's targets.
 	Attained bool
 }
@@ -148,11 +148,11 @@
 	ctx := context.Background()
 	class := metric.WithAttributes(attribute.String("class", r.Class))
 	m.queueWait.Record(ctx, r.QueueWait.Seconds(), class)
-	if r.FirstToken > 0 {
-		m.firstToken.Record(ctx, r.FirstToken.Seconds(), class)
+	if r.TimeToFirstToken > 0 {
+		m.firstToken.Record(ctx, r.TimeToFirstToken.Seconds(), class)
 	}
-	if r.Between > 0 {
-		m.between.Record(ctx, r.Between.Seconds(), class)
+	if r.InterTokenLatency > 0 {
+		m.between.Record(ctx, r.InterTokenLatency.Seconds(), class)
 	}
 	m.total.Record(ctx, r.Total.Seconds(), class)
 	m.requests.Add(ctx, 1, metric.WithAttributes(
@@ -160,7 +160,7 @@
 		attribute.String("outcome", r.Outcome),
 		attribute.String("organisation", m.organisation(r.Organisation))))
 	m.tokens.Add(ctx, int64(r.Tokens), class)
-	m.wasted.Add(ctx, int64(r.Wasted), class)
+	m.wasted.Add(ctx, int64(r.WastedTokens), class)
 	m.retries.Add(ctx, int64(r.Retries), class)
 	if r.Attained {
 		m.attained.Add(ctx, 1, class)
