--- a/cmd/headhillctl/cmds/config.go
+++ b/cmd/headhillctl/cmds/config.go
@@ -69,7 +69,7 @@
 
 func printPlan(out io.Writer, p intent.Plan) {
 	fmt.Fprintf(out, "plan %s on generation %d\n", p.ID, p.Base)
-	for _, l := range p.Lines {
+	for _, l := range p.Diffs {
 		fmt.Fprintf(out, "  %s %s %s\n", signs[l.Verb], l.Kind, l.Name)
 		for _, f := range l.Fields {
 			fmt.Fprintf(out, "      %s: %s -> %s\n", f.Name, f.Old, f.New)
@@ -124,10 +124,10 @@
 	}
 }
 
-// MissingError says that a generation is not in force everywhere.
-type MissingError struct{ Boxes []string }
+// IncompleteRolloutError says that a generation is not in force everywhere.
+type IncompleteRolloutError struct{ Boxes []string }
 
-func (e *MissingError) Error() string {
+func (e *IncompleteRolloutError) Error() string {
 	return "not in force yet on: " + strings.Join(e.Boxes, ", ") + ": ask again in some seconds; if it stays so, look at `headhillctl status`"
 }
 
@@ -148,7 +148,7 @@
 			}
 			fmt.Fprintf(out, "generation %d is in force on: %s\n", g, strings.Join(r.InForce, ", "))
 			if len(r.Missing) > 0 {
-				return &MissingError{Boxes: r.Missing}
+				return &IncompleteRolloutError{Boxes: r.Missing}
 			}
 			return nil
 		},
--- a/cmd/headhillctl/cmds/held.go
+++ b/cmd/headhillctl/cmds/held.go
@@ -24,13 +24,13 @@
 	answerMost = 1 << 20
 )
 
-// BoxAnswerError is an answer of a box that is no success.
-type BoxAnswerError struct {
+// BoxStatusError is an answer of a box that is no success.
+type BoxStatusError struct {
 	Status int
 	Text   string
 }
 
-func (e *BoxAnswerError) Error() string {
+func (e *BoxStatusError) Error() string {
 	return fmt.Sprintf("the box answered %d: %s", e.Status, e.Text)
 }
 
@@ -77,7 +77,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
 	if err == nil && resp.StatusCode/100 != 2 {
-		err = &BoxAnswerError{Status: resp.StatusCode, Text: strings.TrimSpace(string(body))}
+		err = &BoxStatusError{Status: resp.StatusCode, Text: strings.TrimSpace(string(body))}
 	}
 	return body, err
 }
--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -42,8 +42,8 @@
 	Metrics   *telemetry.Metrics
 	Logger    log.Logger
 	Ready     func() bool
-	// Spread waits a moment until other boxes have a generation as well.
-	Spread func(ctx context.Context, generation uint64)
+	// AwaitReplication waits a moment until other boxes have a generation as well.
+	AwaitReplication func(ctx context.Context, generation uint64)
 }
 
 // Handler answers operators.
@@ -149,15 +149,15 @@
 		return http.StatusUnauthorized, "unauthorized"
 	case as[*inifile.Error](err), as[*inifile.SyntaxError](err), as[*badBodyError](err):
 		return http.StatusBadRequest, "bad_intent"
-	case as[*config.InvalidError](err), as[*intent.UnknownItemError](err):
+	case as[*config.ValidationError](err), as[*intent.UnknownItemError](err):
 		return http.StatusUnprocessableEntity, "invalid"
-	case as[*intent.NothingError](err):
+	case as[*intent.NoChangeError](err):
 		return http.StatusConflict, "nothing_to_change"
 	case as[*intent.TamperedError](err):
 		return http.StatusBadRequest, "altered_plan"
-	case as[*config.RacedError](err), as[*config.ForgottenError](err):
+	case as[*config.ConflictError](err), as[*config.PlanExpiredError](err):
 		return http.StatusConflict, "raced"
-	case as[*config.UncertainError](err):
+	case as[*config.UnknownOutcomeError](err):
 		return http.StatusGatewayTimeout, "uncertain"
 	case objlog.IsBehind(err):
 		return http.StatusServiceUnavailable, "platform_behind"
@@ -208,11 +208,11 @@
 	if err := h.Store.Refresh(r.Context()); err != nil {
 		level.Debug(h.Logger).Log("msg", "planning on the last configuration read", "err", err)
 	}
-	p, err := intent.Make(h.Store.Current(), wanted)
+	p, err := intent.NewPlan(h.Store.Current(), wanted)
 	if err != nil {
 		return nil, err
 	}
-	level.Info(h.Logger).Log("msg", "plan made", "operator", operator, "plan", p.ID, "base", p.Base, "changes", len(p.Lines))
+	level.Info(h.Logger).Log("msg", "plan made", "operator", operator, "plan", p.ID, "base", p.Base, "changes", len(p.Diffs))
 	return api.PlanReply{Plan: p}, nil
 }
 
@@ -221,20 +221,20 @@
 	if err := decode(r, &req); err != nil {
 		return nil, err
 	}
-	if err := req.Plan.Check(); err != nil {
+	if err := req.Plan.Verify(); err != nil {
 		return nil, err
 	}
 	if !h.Store.Loaded() {
 		return nil, &config.NotReadyError{}
 	}
-	a := config.Accepted{Operator: operator, At: time.Now().UTC(), Change: req.Plan.Change}
+	a := config.AcceptedChange{Operator: operator, At: time.Now().UTC(), Change: req.Plan.Change}
 	g, err := h.Store.Confirm(r.Context(), req.Plan.ID, req.Plan.Base, a)
 	if err != nil {
 		return nil, oops.In("admin").With("plan", req.Plan.ID).Wrap(err)
 	}
 	// The operator is told only when the change would survive this box, even if
 	// the platform went away now.
-	h.Spread(r.Context(), g)
+	h.AwaitReplication(r.Context(), g)
 	return api.ConfirmReply{Generation: g}, nil
 }
 
@@ -245,7 +245,7 @@
 
 func (h *Handler) status(r *http.Request, _ string, _ httprouter.Params) (any, error) {
 	reply := api.StatusReply{Boxes: h.Fleet.Status(r.Context())}
-	if err := h.Store.Behind(); err != nil {
+	if err := h.Store.StaleLogErr(); err != nil {
 		reply.Warnings = append(reply.Warnings, err.Error())
 	}
 	return reply, nil
--- a/pkg/adminclient/client.go
+++ b/pkg/adminclient/client.go
@@ -28,13 +28,13 @@
 	return &Client{base: strings.TrimSuffix(base, "/"), token: token, http: &http.Client{Timeout: 30 * time.Second}}
 }
 
-// AnsweredError is an error that the box answered with.
-type AnsweredError struct {
+// ResponseError is an error that the box answered with.
+type ResponseError struct {
 	Status int
 	api.AdminError
 }
 
-func (e *AnsweredError) Error() string { return e.Message }
+func (e *ResponseError) Error() string { return e.Message }
 
 // UnreachableError says that the box could not be asked, or its answer was lost.
 type UnreachableError struct {
@@ -76,7 +76,7 @@
 	if resp.StatusCode == http.StatusOK {
 		return json.Unmarshal(data, reply)
 	}
-	answered := &AnsweredError{Status: resp.StatusCode}
+	answered := &ResponseError{Status: resp.StatusCode}
 	if json.Unmarshal(data, &answered.AdminError) != nil || answered.Message == "" {
 		answered.Message = fmt.Sprintf("status %d: check that --admin names an admin port", resp.StatusCode)
 	}
--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -130,7 +130,7 @@
 	b.callers = b.entry.Server()
 	b.admins = admin.NewHandler(admin.Deps{
 		Operators: s.Operators, Store: b.store, Fleet: b, Metrics: b.metrics,
-		Logger: logs.For(logflags.Admin), Ready: b.Ready, Spread: b.spread,
+		Logger: logs.For(logflags.Admin), Ready: b.Ready, AwaitReplication: b.spread,
 	}).Server()
 	b.peers = peer.NewServer(b.security, b.self, b.runner, &peerCalls{Box: b}, logs.For(logflags.Peer))
 }
@@ -138,7 +138,7 @@
 // Start begins to serve.
 func (b *Box) Start() {
 	for _, f := range []func(){
-		func() { b.store.Follow(b.ctx, config.Collect) },
+		func() { b.store.Follow(b.ctx, config.MaxFollowDelay) },
 		b.followRoster,
 		b.followPeers,
 		b.followView,
--- a/pkg/box/calls.go
+++ b/pkg/box/calls.go
@@ -29,7 +29,7 @@
 	if !b.store.Loaded() {
 		return status.Error(codes.Unavailable, "this box has no configuration yet: ask another")
 	}
-	entries, ok := b.store.Since(r.GetGeneration())
+	entries, ok := b.store.EntriesSince(r.GetGeneration())
 	if !ok {
 		return b.sendCopy(stream)
 	}
@@ -45,7 +45,7 @@
 }
 
 func (b *Box) sendCopy(stream grpc.ServerStreamingServer[peerpb.PullConfigReply]) error {
-	generation, parts := b.store.Parts()
+	generation, parts := b.store.SnapshotParts()
 	for i, p := range parts {
 		m := &peerpb.PullConfigReply{Generation: generation, Part: p, Last: i == len(parts)-1}
 		if err := stream.Send(m); err != nil {
--- a/pkg/config/bench_test.go
+++ b/pkg/config/bench_test.go
@@ -15,12 +15,12 @@
 		c.Classes = append(c.Classes, Class{Name: fmt.Sprintf("class-%d", i), Tier: i + 1, Floor: .03, FloorPlaces: 4})
 	}
 	for i := range 3 {
-		c.Services = append(c.Services, Service{Name: fmt.Sprintf("model-%d", i), Kind: KindEngine, Models: []string{fmt.Sprintf("m%d", i)}, Repeatable: true, Queue: 2000})
+		c.Services = append(c.Services, Service{Name: fmt.Sprintf("model-%d", i), Kind: ServiceKindEngine, Models: []string{fmt.Sprintf("m%d", i)}, Repeatable: true, Queue: 2000})
 	}
 	for i := range 7200 {
 		c.Servers = append(c.Servers, Server{
 			Name: fmt.Sprintf("server-%04d", i), Service: fmt.Sprintf("model-%d", i%3), Hall: fmt.Sprintf("hall-%d", i%7),
-			Address: fmt.Sprintf("10.%d.%d.1:8000", i/256, i%256), Slots: 64, State: StateActive,
+			Address: fmt.Sprintf("10.%d.%d.1:8000", i/256, i%256), Slots: 64, State: ServerStateActive,
 		})
 	}
 	for i := range targetOrganisations {
@@ -53,7 +53,7 @@
 func BenchmarkApply(b *testing.B) {
 	s := targetState()
 	server, _ := s.Server("server-0001")
-	server.State = StateLeaving
+	server.State = ServerStateLeaving
 	for name, c := range map[string]Change{
 		"organisation": {Organisations: []Organisation{organisation(7)}},
 		"server":       {Servers: []Server{server}},
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// RacedError says that another plan was accepted first.
-type RacedError struct {
-	Base, Now uint64
+// ConflictError says that another plan was accepted first.
+type ConflictError struct {
+	Base, Current uint64
 }
 
-func (e *RacedError) Error() string {
-	return fmt.Sprintf("the plan was made on generation %d, generation %d is in force by now: nothing was changed; plan again", e.Base, e.Now)
+func (e *ConflictError) Error() string {
+	return fmt.Sprintf("the plan was made on generation %d, generation %d is in force by now: nothing was changed; plan again", e.Base, e.Current)
 }
 
-// UncertainError says that a confirmation may or may not have been accepted.
-type UncertainError struct{ Cause error }
+// UnknownOutcomeError says that a confirmation may or may not have been accepted.
+type UnknownOutcomeError struct{ Cause error }
 
-func (e *UncertainError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is not known whether the plan was accepted: %v: confirm the same plan again, it takes effect once", e.Cause)
 }
 
-func (e *UncertainError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// ForgottenError says that a plan is too old to tell what became of it.
-type ForgottenError struct{ Base uint64 }
+// PlanExpiredError says that a plan is too old to tell what became of it.
+type PlanExpiredError struct{ Base uint64 }
 
-func (e *ForgottenError) Error() string {
+func (e *PlanExpiredError) Error() string {
 	return fmt.Sprintf("the plan was made on generation %d, too long ago to tell whether it was accepted: compare with `headhillctl config` and plan again", e.Base)
 }
 
--- a/pkg/config/follow.go
+++ b/pkg/config/follow.go
@@ -12,9 +12,9 @@
 	"headhill.example/headhill/pkg/pause"
 )
 
-// Collect is the longest that a box waits after a change before it reads on, so
+// MaxFollowDelay is the longest that a box waits after a change before it reads on, so
 // that many changes in a row cost it one read, and the boxes' reads spread out.
-const Collect = 2 * time.Second
+const MaxFollowDelay = 2 * time.Second
 
 // Follow keeps the store up with the platform's log until ctx ends. While the
 // platform is away, peers bring what is new.
--- a/pkg/config/items.go
+++ b/pkg/config/items.go
@@ -43,8 +43,8 @@
 
 // Kinds of services.
 const (
-	KindEngine = "engine"
-	KindPlain  = "plain"
+	ServiceKindEngine = "engine"
+	ServiceKindPlain  = "plain"
 )
 
 // Service is a pool of backend servers that answer one kind of call.
@@ -66,8 +66,8 @@
 
 // States of a backend server.
 const (
-	StateActive  = "active"
-	StateLeaving = "leaving"
+	ServerStateActive  = "active"
+	ServerStateLeaving = "leaving"
 )
 
 // Server is a backend server.
@@ -84,21 +84,21 @@
 	State  string `json:"state"`
 }
 
-// Kind names a kind of item.
-type Kind string
+// ItemKind names a kind of item.
+type ItemKind string
 
 // Kinds of items, as they stand in intents.
 const (
-	KindClass        Kind = "class"
-	KindOrganisation Kind = "organisation"
-	KindService      Kind = "service"
-	KindServer       Kind = "server"
+	KindClass        ItemKind = "class"
+	KindOrganisation ItemKind = "organisation"
+	KindService      ItemKind = "service"
+	KindServer       ItemKind = "server"
 )
 
 // Ref names an item.
 type Ref struct {
-	Kind Kind   `json:"kind"`
-	Name string `json:"name"`
+	Kind ItemKind `json:"kind"`
+	Name string   `json:"name"`
 }
 
 // Change is what one generation changes: items put in place, items removed.
@@ -116,8 +116,8 @@
 }
 
 // touches tells whether the change puts or removes an item of a kind.
-func (c *Change) touches(k Kind) bool {
-	put := map[Kind]int{
+func (c *Change) touches(k ItemKind) bool {
+	put := map[ItemKind]int{
 		KindClass:        len(c.Classes),
 		KindOrganisation: len(c.Organisations),
 		KindService:      len(c.Services),
@@ -126,8 +126,8 @@
 	return put[k] > 0 || slices.ContainsFunc(c.Remove, func(r Ref) bool { return r.Kind == k })
 }
 
-// Accepted is a record of the configuration log. Its ID is the plan's.
-type Accepted struct {
+// AcceptedChange is a record of the configuration log. Its ID is the plan's.
+type AcceptedChange struct {
 	Operator string    `json:"operator"`
 	At       time.Time `json:"at"`
 	Change   Change    `json:"change"`
--- a/pkg/config/shards.go
+++ b/pkg/config/shards.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShardServers is the largest number of backend servers meant for one shard.
-const ShardServers = 32
+// TargetShardServers is the largest number of backend servers meant for one shard.
+const TargetShardServers = 32
 
 // Shard is a part of a service's backend servers that one box schedules at a
 // time.
@@ -92,12 +92,12 @@
 }
 
 func shardOf(service string, v Server, inService, inHall int) Shard {
-	if inService <= ShardServers {
+	if inService <= TargetShardServers {
 		return Shard{ID: service, Service: service}
 	}
 	// A little slack keeps the uneven buckets of the hash within a scheduler's
 	// bound.
-	n := (inHall + ShardServers - 1) / ShardServers
+	n := (inHall + TargetShardServers - 1) / TargetShardServers
 	bucket := xxhash.Sum64String(v.Name) % uint64(n)
 	id := fmt.Sprintf("%s/%s/%d", service, v.Hall, bucket)
 	return Shard{ID: id, Service: service, Hall: v.Hall}
--- a/pkg/config/state.go
+++ b/pkg/config/state.go
@@ -84,7 +84,7 @@
 func (s *State) ServiceByModel(model string) (Service, bool) {
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
-		if v.Kind == KindEngine && slices.Contains(v.Models, model) {
+		if v.Kind == ServiceKindEngine && slices.Contains(v.Models, model) {
 			return v, true
 		}
 	}
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -65,8 +65,8 @@
 	return s.loaded
 }
 
-// Behind returns why the platform's log is not believed, or nil.
-func (s *Store) Behind() error {
+// StaleLogErr returns why the platform's log is not believed, or nil.
+func (s *Store) StaleLogErr() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behind
@@ -95,7 +95,7 @@
 // ApplyEntry puts the next generation in force. What is in force already is
 // passed over; a gap is refused, for a later pull to fill.
 func (s *Store) ApplyEntry(e Entry) error {
-	var a Accepted
+	var a AcceptedChange
 	if err := json.Unmarshal(e.Record.Data, &a); err != nil {
 		return &objlog.CorruptError{Key: e.Record.ID, Cause: err}
 	}
@@ -106,7 +106,7 @@
 		return nil
 	}
 	if e.Generation != now.Generation+1 {
-		return &RacedError{Base: now.Generation, Now: e.Generation}
+		return &ConflictError{Base: now.Generation, Current: e.Generation}
 	}
 	s.remember(e)
 	s.publish(now.Apply(a.Change))
@@ -201,9 +201,9 @@
 	}
 }
 
-// Since returns the entries after a generation, or ok false when they are not
+// EntriesSince returns the entries after a generation, or ok false when they are not
 // kept any more and a whole copy is needed.
-func (s *Store) Since(generation uint64) (entries []Entry, ok bool) {
+func (s *Store) EntriesSince(generation uint64) (entries []Entry, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if generation >= s.state.Load().Generation {
@@ -216,9 +216,9 @@
 	return append([]Entry(nil), s.history[from:]...), true
 }
 
-// Parts returns a whole copy of the configuration in force, in parts that fit
+// SnapshotParts returns a whole copy of the configuration in force, in parts that fit
 // the platform's values and a peer's messages.
-func (s *Store) Parts() (generation uint64, parts [][]byte) {
+func (s *Store) SnapshotParts() (generation uint64, parts [][]byte) {
 	st := s.Current()
 	return st.Generation, encodeParts(st)
 }
@@ -258,9 +258,9 @@
 
 // Confirm accepts a change that was planned on generation base under the plan's
 // ID, and returns the generation that it became. Confirming again returns the
-// same generation. RacedError, UncertainError and objectstore.UnavailableError say
+// same generation. ConflictError, UnknownOutcomeError and objectstore.UnavailableError say
 // that, or whether, it was not accepted.
-func (s *Store) Confirm(ctx context.Context, id string, base uint64, a Accepted) (uint64, error) {
+func (s *Store) Confirm(ctx context.Context, id string, base uint64, a AcceptedChange) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if err := s.Refresh(ctx); err != nil {
@@ -283,21 +283,21 @@
 	case objlog.IsMoved(err):
 		return s.confirmed(id, base)
 	case objectstore.IsUnknown(err):
-		return 0, &UncertainError{Cause: err}
+		return 0, &UnknownOutcomeError{Cause: err}
 	}
 	return 0, err
 }
 
 // confirmed looks what became of a plan whose base is no longer in force.
 func (s *Store) confirmed(id string, base uint64) (uint64, error) {
-	entries, ok := s.Since(base)
+	entries, ok := s.EntriesSince(base)
 	if !ok {
-		return 0, &ForgottenError{Base: base}
+		return 0, &PlanExpiredError{Base: base}
 	}
 	if len(entries) > 0 && entries[0].Record.ID == id {
 		return base + 1, nil
 	}
-	return 0, &RacedError{Base: base, Now: s.Current().Generation}
+	return 0, &ConflictError{Base: base, Current: s.Current().Generation}
 }
 
 // foldLater folds a long log in the background of the confirmation.
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -20,8 +20,8 @@
 	return NewStore(p.Client(), "p", log.NewNopLogger())
 }
 
-func classChange(name string) Accepted {
-	return Accepted{Operator: "op", Change: Change{Classes: []Class{{Name: name, Tier: 1, Floor: 0.01, FloorPlaces: 1}}}}
+func classChange(name string) AcceptedChange {
+	return AcceptedChange{Operator: "op", Change: Change{Classes: []Class{{Name: name, Tier: 1, Floor: 0.01, FloorPlaces: 1}}}}
 }
 
 func confirm(t *testing.T, s *Store, id string) uint64 {
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), g)
 	_, err = b.Confirm(t.Context(), "plan-b", 0, classChange("b"))
-	var raced *RacedError
+	var raced *ConflictError
 	require.ErrorAs(t, err, &raced)
 	require.NoError(t, a.Refresh(t.Context()))
 	_, exists := a.Current().Class("b")
@@ -86,7 +86,7 @@
 	confirm(t, s, "b")
 	p.Restore(backup)
 	require.True(t, objlog.IsBehind(s.Refresh(t.Context())))
-	require.Error(t, s.Behind())
+	require.Error(t, s.StaleLogErr())
 	_, exists := s.Current().Class("b")
 	require.True(t, exists, "an accepted change was lost")
 	_, err := s.Confirm(t.Context(), "c", 2, classChange("c"))
@@ -108,7 +108,7 @@
 	require.NoError(t, behind.Refresh(t.Context()))
 	old := p.Snapshot()
 	confirmWhileStale("b")
-	entries, ok := ahead.Since(1)
+	entries, ok := ahead.EntriesSince(1)
 	require.True(t, ok)
 	for _, e := range entries {
 		require.NoError(t, behind.ApplyEntry(e))
@@ -126,7 +126,7 @@
 	for i := range 3 {
 		confirm(t, from, fmt.Sprint("p", i))
 	}
-	entries, _ := from.Since(0)
+	entries, _ := from.EntriesSince(0)
 	require.Error(t, to.ApplyEntry(entries[2]), "a gap must be refused")
 	for _, e := range append(entries, entries...) {
 		require.NoError(t, to.ApplyEntry(e))
@@ -141,7 +141,7 @@
 		confirm(t, s, "c")
 		for i := range 1500 {
 			o := Organisation{Name: fmt.Sprint("o", i), Class: "c"}
-			g, err := s.Confirm(t.Context(), fmt.Sprint("p", i), uint64(i+1), Accepted{Change: Change{Organisations: []Organisation{o}}})
+			g, err := s.Confirm(t.Context(), fmt.Sprint("p", i), uint64(i+1), AcceptedChange{Change: Change{Organisations: []Organisation{o}}})
 			require.NoError(t, err)
 			require.Equal(t, uint64(i+2), g)
 		}
@@ -202,7 +202,7 @@
 				case "refresh":
 					_ = s.Refresh(ctx)
 				case "pull":
-					if entries, ok := boxes[st.From].Since(before); ok {
+					if entries, ok := boxes[st.From].EntriesSince(before); ok {
 						for _, e := range entries {
 							_ = s.ApplyEntry(e)
 						}
@@ -250,7 +250,7 @@
 
 func TestLargeServicesAreSplit(t *testing.T) {
 	var c Change
-	c.Services = []Service{{Name: "s", Kind: KindEngine}}
+	c.Services = []Service{{Name: "s", Kind: ServiceKindEngine}}
 	for i := range 200 {
 		c.Servers = append(c.Servers, Server{Name: fmt.Sprint("v", i), Service: "s", Hall: fmt.Sprint("h", i%2), Address: fmt.Sprintf("10.0.0.1:%d", i+1)})
 	}
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -17,20 +17,20 @@
 	MaxTier     = 16
 )
 
-// Fault is one reason why a configuration can't be accepted.
-type Fault struct {
+// Violation is one reason why a configuration can't be accepted.
+type Violation struct {
 	Ref
 	Remedy string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s %s: %s", f.Kind, f.Name, f.Remedy) }
+func (f Violation) String() string { return fmt.Sprintf("%s %s: %s", f.Kind, f.Name, f.Remedy) }
 
-// InvalidError lists every reason why a configuration can't be accepted.
-type InvalidError struct{ Faults []Fault }
+// ValidationError lists every reason why a configuration can't be accepted.
+type ValidationError struct{ Violations []Violation }
 
-func (e *InvalidError) Error() string {
-	lines := []string{fmt.Sprintf("the configuration would have %d fault(s), nothing was changed:", len(e.Faults))}
-	for _, f := range e.Faults {
+func (e *ValidationError) Error() string {
+	lines := []string{fmt.Sprintf("the configuration would have %d fault(s), nothing was changed:", len(e.Violations))}
+	for _, f := range e.Violations {
 		lines = append(lines, "  "+f.String())
 	}
 	return strings.Join(lines, "\n")
@@ -39,15 +39,15 @@
 // validator collects faults.
 type validator struct {
 	s      *State
-	faults []Fault
+	faults []Violation
 }
 
-func (v *validator) add(k Kind, name, format string, args ...any) {
-	v.faults = append(v.faults, Fault{Ref: Ref{Kind: k, Name: name}, Remedy: fmt.Sprintf(format, args...)})
+func (v *validator) add(k ItemKind, name, format string, args ...any) {
+	v.faults = append(v.faults, Violation{Ref: Ref{Kind: k, Name: name}, Remedy: fmt.Sprintf(format, args...)})
 }
 
 // Validate checks that a state is whole: every name refers to something, and the
-// promises to the classes can be kept together. It returns *InvalidError.
+// promises to the classes can be kept together. It returns *ValidationError.
 func (s *State) Validate() error {
 	v := &validator{s: s}
 	v.classes()
@@ -57,7 +57,7 @@
 	if len(v.faults) == 0 {
 		return nil
 	}
-	return &InvalidError{Faults: v.faults}
+	return &ValidationError{Violations: v.faults}
 }
 
 func (v *validator) classes() {
@@ -87,8 +87,8 @@
 func (v *validator) services() {
 	models := make(map[string]string)
 	for _, s := range v.s.Services() {
-		if s.Kind != KindEngine && s.Kind != KindPlain {
-			v.add(KindService, s.Name, "kind must be %s or %s", KindEngine, KindPlain)
+		if s.Kind != ServiceKindEngine && s.Kind != ServiceKindPlain {
+			v.add(KindService, s.Name, "kind must be %s or %s", ServiceKindEngine, ServiceKindPlain)
 		}
 		if s.Class != "" && !v.hasClass(s.Class) {
 			v.add(KindService, s.Name, "class %s does not exist: add it or name another", s.Class)
@@ -120,8 +120,8 @@
 			v.add(KindServer, s.Name, "address %s belongs to %s already: its slots would be counted twice", s.Address, other)
 		}
 		addresses[s.Address] = s.Name
-		if s.State != StateActive && s.State != StateLeaving {
-			v.add(KindServer, s.Name, "state must be %s or %s", StateActive, StateLeaving)
+		if s.State != ServerStateActive && s.State != ServerStateLeaving {
+			v.add(KindServer, s.Name, "state must be %s or %s", ServerStateActive, ServerStateLeaving)
 		}
 	}
 }
--- a/pkg/entry/dispatch.go
+++ b/pkg/entry/dispatch.go
@@ -95,7 +95,7 @@
 
 // cannotContinue reports whether an answer was started that no other server can continue.
 func (req *request) cannotContinue() bool {
-	return req.responseStarted && (req.nonResumable || req.service.Kind != config.KindEngine)
+	return req.responseStarted && (req.nonResumable || req.service.Kind != config.ServiceKindEngine)
 }
 
 // finalError returns the error for the caller. Once the request may have run, it is
--- a/pkg/entry/exchange_test.go
+++ b/pkg/entry/exchange_test.go
@@ -52,7 +52,7 @@
 	chat, err := parseChatRequest([]byte(raw))
 	require.NoError(t, err)
 	w := httptest.NewRecorder()
-	req := &request{id: id, arrival: time.Now(), body: []byte(raw), service: config.Service{Kind: config.KindEngine}}
+	req := &request{id: id, arrival: time.Now(), body: []byte(raw), service: config.Service{Kind: config.ServiceKindEngine}}
 	x := &chatExchange{h: h, w: w, req: req, chat: chat}
 	x.answer.id = answerIDPrefix + id
 	return x, w
@@ -178,7 +178,7 @@
 	require.NoError(t, json.Unmarshal([]byte(`{"id":"x","choices":[{"index":0,"delta":{"tool_calls":[{}]}}]}`), &c))
 	a.addChunk(&c)
 	require.True(t, a.nonResumable)
-	req := &request{responseStarted: true, nonResumable: true, service: config.Service{Kind: config.KindEngine}}
+	req := &request{responseStarted: true, nonResumable: true, service: config.Service{Kind: config.ServiceKindEngine}}
 	require.True(t, req.cannotContinue())
 	h := &Handler{budget: newRetryBudget()}
 	require.False(t, h.shouldRetry(t.Context(), req, &backend.InterruptedError{}, 0))
--- a/pkg/entry/finish.go
+++ b/pkg/entry/finish.go
@@ -42,7 +42,7 @@
 	switch {
 	case !req.responseStarted:
 		resp.write(w, req.id)
-	case req.service.Kind == config.KindEngine:
+	case req.service.Kind == config.ServiceKindEngine:
 		sendErrorEvent(w, resp, req.id)
 	default:
 		// Abort the connection so that a truncated answer does not look complete.
--- a/pkg/entry/plain.go
+++ b/pkg/entry/plain.go
@@ -25,7 +25,7 @@
 func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request, req *request) error {
 	name := req.params.ByName("service")
 	service, ok := h.Store.Current().Service(name)
-	if !ok || service.Kind != config.KindPlain {
+	if !ok || service.Kind != config.ServiceKindPlain {
 		return &RequestError{Status: http.StatusNotFound, Type: typeNoRoute, Message: fmt.Sprintf("no plain service %q: check the path", name)}
 	}
 	req.service = service
--- a/pkg/inifile/inifile.go
+++ b/pkg/inifile/inifile.go
@@ -94,9 +94,9 @@
 	return &Section{file: f, ini: s, name: name}
 }
 
-// Named returns the sections "kind NAME", in file order. A name that stands twice
+// NamedSections returns the sections "kind NAME", in file order. A name that stands twice
 // is a problem.
-func (f *File) Named(kind string) []*Section {
+func (f *File) NamedSections(kind string) []*Section {
 	var list []*Section
 	names := make(map[string]bool)
 	for _, s := range f.ini.Sections() {
@@ -115,20 +115,20 @@
 	return list
 }
 
-// Report adds a problem that the caller found.
-func (f *File) Report(section, key, value, remedy string) {
+// AddProblem adds a problem that the caller found.
+func (f *File) AddProblem(section, key, value, remedy string) {
 	f.problems = append(f.problems, Problem{Section: section, Key: key, Value: value, Remedy: remedy})
 }
 
-// Done returns all problems as an *Error, or nil. Sections nobody asked for are
+// Finish returns all problems as an *Error, or nil. Sections nobody asked for are
 // problems too.
-func (f *File) Done() error {
+func (f *File) Finish() error {
 	for _, s := range f.ini.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
 		if !f.seen[s.Name()] {
-			f.Report(s.Name(), "", "", "unknown section: remove it or check its spelling")
+			f.AddProblem(s.Name(), "", "", "unknown section: remove it or check its spelling")
 		}
 	}
 	if len(f.problems) == 0 {
@@ -156,9 +156,9 @@
 	return strings.TrimSpace(s.ini.Key(key).String()), true
 }
 
-// Problem reports a fault of a key.
-func (s *Section) Problem(key, value, remedy string) {
-	s.file.Report(s.name, key, value, remedy)
+// AddProblem reports a fault of a key.
+func (s *Section) AddProblem(key, value, remedy string) {
+	s.file.AddProblem(s.name, key, value, remedy)
 }
 
 // Has tells whether the key stands in the section.
@@ -167,7 +167,7 @@
 // Require reports a key that is absent or empty.
 func (s *Section) Require(key, remedy string) {
 	if !s.Has(key) || strings.TrimSpace(s.ini.Key(key).String()) == "" {
-		s.Problem(key, "", "required: "+remedy)
+		s.AddProblem(key, "", "required: "+remedy)
 	}
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	if !slices.Contains(options, t) {
-		s.Problem(key, t, "write one of: "+strings.Join(options, ", "))
+		s.AddProblem(key, t, "write one of: "+strings.Join(options, ", "))
 		return
 	}
 	*v = t
@@ -199,7 +199,7 @@
 	}
 	n, err := strconv.Atoi(t)
 	if err != nil || n < least || n > most {
-		s.Problem(key, t, fmt.Sprintf("write a whole number from %d to %d", least, most))
+		s.AddProblem(key, t, fmt.Sprintf("write a whole number from %d to %d", least, most))
 		return
 	}
 	*v = n
@@ -213,7 +213,7 @@
 	}
 	n, err := strconv.ParseFloat(t, 64)
 	if err != nil || !(n >= least && n <= most) {
-		s.Problem(key, t, fmt.Sprintf("write a number from %g to %g", least, most))
+		s.AddProblem(key, t, fmt.Sprintf("write a number from %g to %g", least, most))
 		return
 	}
 	*v = n
@@ -227,7 +227,7 @@
 	}
 	n, err := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(t, "%")), 64)
 	if err != nil || !strings.HasSuffix(t, "%") || !(n/100 >= least && n/100 <= most) {
-		s.Problem(key, t, fmt.Sprintf("write a share from %g%% to %g%%", least*100, most*100))
+		s.AddProblem(key, t, fmt.Sprintf("write a share from %g%% to %g%%", least*100, most*100))
 		return
 	}
 	*v = n / 100
@@ -241,7 +241,7 @@
 	}
 	d, err := time.ParseDuration(t)
 	if err != nil || d < least || d > most {
-		s.Problem(key, t, fmt.Sprintf("write a time with its unit, from %s to %s", least, most))
+		s.AddProblem(key, t, fmt.Sprintf("write a time with its unit, from %s to %s", least, most))
 		return
 	}
 	*v = d
@@ -259,7 +259,7 @@
 	case "no":
 		*v = false
 	default:
-		s.Problem(key, t, "write yes or no")
+		s.AddProblem(key, t, "write yes or no")
 	}
 }
 
@@ -293,12 +293,12 @@
 func (s *Section) checkAddr(key, t string, zero bool) {
 	a, err := netip.ParseAddrPort(t)
 	if err != nil || (a.Port() == 0 && !zero) {
-		s.Problem(key, t, "write an IP address and port, as 192.0.2.7:8443")
+		s.AddProblem(key, t, "write an IP address and port, as 192.0.2.7:8443")
 	}
 }
 
-// All reads every key of the section as text.
-func (s *Section) All() map[string]string {
+// Values reads every key of the section as text.
+func (s *Section) Values() map[string]string {
 	m := make(map[string]string)
 	if s.ini == nil {
 		return m
@@ -310,14 +310,14 @@
 	return m
 }
 
-// Done reports the keys of the section that nobody read.
-func (s *Section) Done() {
+// ReportUnknownKeys reports the keys of the section that nobody read.
+func (s *Section) ReportUnknownKeys() {
 	if s.ini == nil {
 		return
 	}
 	for _, k := range s.ini.Keys() {
 		if !slices.Contains(s.read, k.Name()) {
-			s.Problem(k.Name(), k.String(), "unknown key: remove it or check its spelling; known here: "+strings.Join(s.read, ", "))
+			s.AddProblem(k.Name(), k.String(), "unknown key: remove it or check its spelling; known here: "+strings.Join(s.read, ", "))
 		}
 	}
 }
--- a/pkg/intent/intent_test.go
+++ b/pkg/intent/intent_test.go
@@ -24,14 +24,14 @@
 
 func TestExampleIsPlannedAndAppliesOnce(t *testing.T) {
 	c := parseExample(t)
-	p, err := Make(config.NewState(), c)
+	p, err := NewPlan(config.NewState(), c)
 	require.NoError(t, err)
-	require.NoError(t, p.Check())
-	require.Len(t, p.Lines, 8)
+	require.NoError(t, p.Verify())
+	require.Len(t, p.Diffs, 8)
 	require.NotEmpty(t, p.Warnings)
 	st := config.NewState().Apply(p.Change)
-	_, err = Make(st, c)
-	var nothing *NothingError
+	_, err = NewPlan(st, c)
+	var nothing *NoChangeError
 	require.ErrorAs(t, err, &nothing)
 }
 
@@ -39,22 +39,22 @@
 	st := config.NewState().Apply(parseExample(t))
 	c, err := Parse([]byte("[class counter]\ntier = 1\nfirst-token = 2s\nbetween-tokens = 37ms\ndeadline = 20s\nfloor = 5%\nplaces = 100\n[server mohinh-1]\nremove = yes\n"))
 	require.NoError(t, err)
-	p, err := Make(st, c)
+	p, err := NewPlan(st, c)
 	require.NoError(t, err)
-	require.Equal(t, []Line{
+	require.Equal(t, []ItemDiff{
 		{Verb: VerbRemove, Kind: config.KindServer, Name: "mohinh-1"},
-		{Verb: VerbChange, Kind: config.KindClass, Name: "counter", Fields: []Field{{Name: "FirstToken", Old: "1.3s", New: "2s"}}},
-	}, p.Lines)
+		{Verb: VerbChange, Kind: config.KindClass, Name: "counter", Fields: []FieldDiff{{Name: "FirstToken", Old: "1.3s", New: "2s"}}},
+	}, p.Diffs)
 	require.Contains(t, p.Warnings, "service mohinh has no active server: its calls will be refused")
 	require.Contains(t, p.Warnings, "server mohinh-1 is removed while active: set state = leaving first, so that what runs there is counted to its end")
 }
 
 func TestAlteredPlanIsRefused(t *testing.T) {
-	p, err := Make(config.NewState(), parseExample(t))
+	p, err := NewPlan(config.NewState(), parseExample(t))
 	require.NoError(t, err)
 	p.Change.Classes[0].Tier = 9
 	var tampered *TamperedError
-	require.ErrorAs(t, p.Check(), &tampered)
+	require.ErrorAs(t, p.Verify(), &tampered)
 }
 
 func TestInvalidPlansNameEveryFault(t *testing.T) {
@@ -87,11 +87,11 @@
 classes = b
 `))
 	require.NoError(t, err)
-	_, err = Make(config.NewState(), c)
-	var invalid *config.InvalidError
+	_, err = NewPlan(config.NewState(), c)
+	var invalid *config.ValidationError
 	require.ErrorAs(t, err, &invalid)
 	var names []string
-	for _, f := range invalid.Faults {
+	for _, f := range invalid.Violations {
 		names = append(names, f.Name)
 	}
 	require.ElementsMatch(t, []string{"*", "c", "s", "t", "v", "w", "o"}, names)
@@ -120,9 +120,9 @@
 			require.True(t, errors.As(err, &problems) || errors.As(err, &syntax), "%T", err)
 			return
 		}
-		p, err := Make(config.NewState(), c)
+		p, err := NewPlan(config.NewState(), c)
 		if err == nil {
-			require.NoError(t, p.Check())
+			require.NoError(t, p.Verify())
 		}
 	})
 }
--- a/pkg/intent/parse.go
+++ b/pkg/intent/parse.go
@@ -44,16 +44,16 @@
 	for _, s := range items(f, config.KindServer, &c) {
 		c.Servers = append(c.Servers, readServer(s))
 	}
-	return c, f.Done()
+	return c, f.Finish()
 }
 
 // items returns the sections of a kind that set an item, and notes in c the ones
 // that remove one.
-func items(f *inifile.File, kind config.Kind, c *config.Change) []*inifile.Section {
+func items(f *inifile.File, kind config.ItemKind, c *config.Change) []*inifile.Section {
 	var list []*inifile.Section
-	for _, s := range f.Named(string(kind)) {
+	for _, s := range f.NamedSections(string(kind)) {
 		if !nameForm.MatchString(s.Name) {
-			s.Problem("", s.Name, nameRemedy)
+			s.AddProblem("", s.Name, nameRemedy)
 		}
 		remove := false
 		s.Bool("remove", &remove)
@@ -61,7 +61,7 @@
 			list = append(list, s)
 			continue
 		}
-		s.Done()
+		s.ReportUnknownKeys()
 		c.Remove = append(c.Remove, config.Ref{Kind: kind, Name: s.Name})
 	}
 	return list
@@ -84,7 +84,7 @@
 	s.Duration("between-tokens", &c.Between, 0, maxDuration)
 	s.Duration("deadline", &c.Deadline, time.Millisecond, 24*time.Hour)
 	s.List("servers", &c.Servers)
-	s.Done()
+	s.ReportUnknownKeys()
 	return c
 }
 
@@ -98,29 +98,29 @@
 	s.Float("requests-per-second", &o.Requests, 0, 1e6)
 	s.Float("tokens-per-second", &o.Tokens, 0, 1e9)
 	s.Int("concurrency", &o.Concurrency, 0, 1e6)
-	s.Done()
+	s.ReportUnknownKeys()
 	for _, h := range o.KeyHashes {
 		if b, err := hex.DecodeString(h); err != nil || len(b) != 32 {
-			s.Problem("key-sha256", h, "write the hex SHA-256 that `headhillctl key` prints; the key itself is never stored")
+			s.AddProblem("key-sha256", h, "write the hex SHA-256 that `headhillctl key` prints; the key itself is never stored")
 		}
 	}
 	return o
 }
 
 func readService(s *inifile.Section) config.Service {
-	v := config.Service{Name: s.Name, Queue: defaultQueue, Kind: config.KindEngine, Repeatable: true}
-	s.OneOf("kind", &v.Kind, config.KindEngine, config.KindPlain)
+	v := config.Service{Name: s.Name, Queue: defaultQueue, Kind: config.ServiceKindEngine, Repeatable: true}
+	s.OneOf("kind", &v.Kind, config.ServiceKindEngine, config.ServiceKindPlain)
 	s.List("models", &v.Models)
 	s.String("class", &v.Class)
 	s.Bool("repeatable", &v.Repeatable)
 	s.Int("queue", &v.Queue, 1, 100000)
 	s.Int("headroom", &v.Headroom, 0, 10000)
-	s.Done()
+	s.ReportUnknownKeys()
 	return v
 }
 
 func readServer(s *inifile.Section) config.Server {
-	v := config.Server{Name: s.Name, Slots: defaultSlots, State: config.StateActive}
+	v := config.Server{Name: s.Name, Slots: defaultSlots, State: config.ServerStateActive}
 	s.Require("service", "name the service it belongs to")
 	s.Require("hall", "name the hall it stands in")
 	s.Require("address", "write its IP address and port")
@@ -129,7 +129,7 @@
 	s.AddrPort("address", &v.Address, false)
 	s.Int("slots", &v.Slots, 1, 4096)
 	s.Bool("checks-fences", &v.Fences)
-	s.OneOf("state", &v.State, config.StateActive, config.StateLeaving)
-	s.Done()
+	s.OneOf("state", &v.State, config.ServerStateActive, config.ServerStateLeaving)
+	s.ReportUnknownKeys()
 	return v
 }
--- a/pkg/intent/plan.go
+++ b/pkg/intent/plan.go
@@ -17,17 +17,17 @@
 	VerbRemove = "remove"
 )
 
-// Line is one item that a plan changes.
-type Line struct {
-	Verb string      `json:"verb"`
-	Kind config.Kind `json:"kind"`
-	Name string      `json:"name"`
+// ItemDiff is one item that a plan changes.
+type ItemDiff struct {
+	Verb string          `json:"verb"`
+	Kind config.ItemKind `json:"kind"`
+	Name string          `json:"name"`
 	// Fields lists what differs, for a change.
-	Fields []Field `json:"fields,omitempty"`
+	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// Field is one difference.
-type Field struct {
+// FieldDiff is one difference.
+type FieldDiff struct {
 	Name string `json:"name"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
@@ -39,7 +39,7 @@
 	ID       string        `json:"id"`
 	Base     uint64        `json:"base_generation"`
 	Change   config.Change `json:"change"`
-	Lines    []Line        `json:"lines"`
+	Diffs    []ItemDiff    `json:"lines"`
 	Warnings []string      `json:"warnings,omitempty"`
 }
 
@@ -50,34 +50,34 @@
 	return "the plan was altered after it was made: plan again"
 }
 
-// NothingError says that an intent changes nothing.
-type NothingError struct{ Generation uint64 }
+// NoChangeError says that an intent changes nothing.
+type NoChangeError struct{ Generation uint64 }
 
-func (e *NothingError) Error() string {
+func (e *NoChangeError) Error() string {
 	return fmt.Sprintf("the intent says what generation %d already has: there is nothing to confirm", e.Generation)
 }
 
-// Make plans a change on a state. The error is *config.InvalidError,
-// *NothingError or *UnknownItemError.
-func Make(st *config.State, wanted config.Change) (Plan, error) {
+// NewPlan plans a change on a state. The error is *config.ValidationError,
+// *NoChangeError or *UnknownItemError.
+func NewPlan(st *config.State, wanted config.Change) (Plan, error) {
 	p := Plan{Base: st.Generation}
 	if err := diff(st, wanted, &p); err != nil {
 		return Plan{}, err
 	}
 	if p.Change.Empty() {
-		return Plan{}, &NothingError{Generation: st.Generation}
+		return Plan{}, &NoChangeError{Generation: st.Generation}
 	}
 	next := st.Apply(p.Change)
 	if err := next.Validate(); err != nil {
 		return Plan{}, err
 	}
-	p.Warnings = warnings(st, next, p.Lines)
+	p.Warnings = warnings(st, next, p.Diffs)
 	p.ID = planID(p.Base, p.Change)
 	return p, nil
 }
 
-// Check tells whether a plan is as it was made.
-func (p *Plan) Check() error {
+// Verify tells whether a plan is as it was made.
+func (p *Plan) Verify() error {
 	if p.ID == "" || p.ID != planID(p.Base, p.Change) {
 		return &TamperedError{}
 	}
@@ -106,7 +106,7 @@
 			return &UnknownItemError{Ref: r}
 		}
 		p.Change.Remove = append(p.Change.Remove, r)
-		p.Lines = append(p.Lines, Line{Verb: VerbRemove, Kind: r.Kind, Name: r.Name})
+		p.Diffs = append(p.Diffs, ItemDiff{Verb: VerbRemove, Kind: r.Kind, Name: r.Name})
 	}
 	p.Change.Classes = diffItems(p, config.KindClass, w.Classes, st.Class, func(v config.Class) string { return v.Name })
 	p.Change.Organisations = diffItems(p, config.KindOrganisation, w.Organisations, st.Organisation, func(v config.Organisation) string { return v.Name })
@@ -131,11 +131,11 @@
 }
 
 // diffItems keeps the items that differ from the state and writes their lines.
-func diffItems[V any](p *Plan, kind config.Kind, wanted []V, find func(string) (V, bool), name func(V) string) []V {
+func diffItems[V any](p *Plan, kind config.ItemKind, wanted []V, find func(string) (V, bool), name func(V) string) []V {
 	var kept []V
 	for _, v := range wanted {
 		old, ok := find(name(v))
-		l := Line{Verb: VerbAdd, Kind: kind, Name: name(v)}
+		l := ItemDiff{Verb: VerbAdd, Kind: kind, Name: name(v)}
 		if ok {
 			l.Verb = VerbChange
 			l.Fields = fields(old, v)
@@ -143,20 +143,20 @@
 				continue
 			}
 		}
-		p.Lines = append(p.Lines, l)
+		p.Diffs = append(p.Diffs, l)
 		kept = append(kept, v)
 	}
 	return kept
 }
 
 // fields lists the fields that differ between two items of one type.
-func fields(old, new any) []Field {
-	var list []Field
+func fields(old, new any) []FieldDiff {
+	var list []FieldDiff
 	a, b := reflect.ValueOf(old), reflect.ValueOf(new)
 	for i := range a.NumField() {
 		x, y := fmt.Sprint(a.Field(i).Interface()), fmt.Sprint(b.Field(i).Interface())
 		if x != y {
-			list = append(list, Field{Name: a.Type().Field(i).Name, Old: x, New: y})
+			list = append(list, FieldDiff{Name: a.Type().Field(i).Name, Old: x, New: y})
 		}
 	}
 	return list
--- a/pkg/intent/warnings.go
+++ b/pkg/intent/warnings.go
@@ -8,7 +8,7 @@
 )
 
 // warnings says what an operator should know before confirming.
-func warnings(old, next *config.State, lines []Line) []string {
+func warnings(old, next *config.State, lines []ItemDiff) []string {
 	var w []string
 	w = append(w, floorWarning(next))
 	for _, c := range next.Classes() {
@@ -50,7 +50,7 @@
 
 func anyActive(st *config.State, names []string) bool {
 	for _, n := range names {
-		if s, ok := st.Server(n); ok && s.State == config.StateActive {
+		if s, ok := st.Server(n); ok && s.State == config.ServerStateActive {
 			return true
 		}
 	}
@@ -79,11 +79,11 @@
 	return w
 }
 
-func lineWarnings(old *config.State, l Line) []string {
+func lineWarnings(old *config.State, l ItemDiff) []string {
 	switch {
 	case l.Verb == VerbRemove && l.Kind == config.KindServer:
 		s, _ := old.Server(l.Name)
-		if s.State == config.StateActive {
+		if s.State == config.ServerStateActive {
 			return []string{fmt.Sprintf("server %s is removed while active: set state = leaving first, so that what runs there is counted to its end", l.Name)}
 		}
 	case l.Verb == VerbRemove && l.Kind == config.KindOrganisation:
--- a/pkg/logflags/settings.go
+++ b/pkg/logflags/settings.go
@@ -20,8 +20,8 @@
 	s.List("output", &l.Output)
 	for _, o := range l.Output {
 		if err := Check(o); err != nil {
-			s.Problem("output", o, err.Error())
+			s.AddProblem("output", o, err.Error())
 		}
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 }
--- a/pkg/routerd/settings.go
+++ b/pkg/routerd/settings.go
@@ -133,9 +133,9 @@
 	readLimits(f.Section("limits"), &s.Limits)
 	readBounds(f.Section("bounds"), &s.Bounds)
 	readDuties(f.Section("duties"), &s.Duties)
-	s.Regions = f.Section("regions").All()
+	s.Regions = f.Section("regions").Values()
 	s.Log.Read(f.Section("log"))
-	return s, f.Done()
+	return s, f.Finish()
 }
 
 func readBox(s *inifile.Section, b *BoxSettings) {
@@ -144,7 +144,7 @@
 	s.String("id", &b.ID)
 	s.String("hall", &b.Hall)
 	s.String("region", &b.Region)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readListen(s *inifile.Section, l *ListenSettings) {
@@ -152,21 +152,21 @@
 	s.AddrPort("ready", &l.Ready, true)
 	s.AddrPort("metrics", &l.Metrics, true)
 	s.AddrPort("peer", &l.Peer, true)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readStore(s *inifile.Section, to *Settings) {
 	s.Require("address", "write the store's IP and port, as 192.0.2.1:7000")
 	s.AddrPort("address", &to.Store, false)
 	callrate.ReadSettings(s, &to.Rates)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readLimits(s *inifile.Section, l *LimitSettings) {
 	s.Int("memory-mb", &l.MemoryMB, 32, 1<<20)
 	s.Int("descriptors", &l.Descriptors, 256, 1<<20)
 	s.Float("link-mbps", &l.LinkMbps, 0, 1<<20)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readBounds(s *inifile.Section, b *BoundSettings) {
@@ -177,7 +177,7 @@
 	s.Float("retry-ratio", &b.RetryRatio, 0, 10)
 	s.Float("retry-slack", &b.RetrySlack, 0, 1e9)
 	s.Duration("retry-window", &b.RetryWindow, 100*time.Millisecond, time.Hour)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readDuties(s *inifile.Section, d *DutySettings) {
@@ -186,5 +186,5 @@
 	s.Duration("lease", &d.Lease, 500*time.Millisecond, time.Minute)
 	s.Duration("window", &d.Window, time.Second, time.Hour)
 	s.Float("work-value", &d.WorkValue, 0, 1e6)
-	s.Done()
+	s.ReportUnknownKeys()
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -126,7 +126,7 @@
 	s.Operators = readOperators(f.Section("operators"))
 	readLimits(f.Section("limits"), &s.Limits)
 	s.Log.Read(f.Section("log"))
-	return s, f.Done()
+	return s, f.Finish()
 }
 
 func readBox(s *inifile.Section, b *Box) {
@@ -139,12 +139,12 @@
 	checkName(s, "id", b.ID)
 	checkName(s, "hall", b.Hall)
 	checkName(s, "region", b.Region)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func checkName(s *inifile.Section, key, v string) {
 	if v != "" && !nameForm.MatchString(v) {
-		s.Problem(key, v, nameRemedy)
+		s.AddProblem(key, v, nameRemedy)
 	}
 }
 
@@ -152,7 +152,7 @@
 	s.AddrPort("caller", &l.Caller, true)
 	s.AddrPort("peer", &l.Peer, true)
 	s.AddrPort("admin", &l.Admin, true)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 var urlForm = regexp.MustCompile(`^https?://[^\s/]+`)
@@ -164,11 +164,11 @@
 	s.String("prefix", &p.Prefix)
 	callrate.ReadSettings(s, &p.Rates)
 	if p.URL != "" && !urlForm.MatchString(p.URL) {
-		s.Problem("url", p.URL, "write an http or https URL, as http://192.0.2.1:7000")
+		s.AddProblem("url", p.URL, "write an http or https URL, as http://192.0.2.1:7000")
 	}
 	checkName(s, "prefix", p.Prefix)
 	p.Token = readToken(s, p.TokenFile)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readToken(s *inifile.Section, file string) string {
@@ -177,7 +177,7 @@
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
-		s.Problem("token-file", file, "name a readable file: "+err.Error())
+		s.AddProblem("token-file", file, "name a readable file: "+err.Error())
 	}
 	return string(trimNewline(b))
 }
@@ -200,25 +200,25 @@
 			checkFile(s, f.key, f.path)
 		}
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func checkFile(s *inifile.Section, key, path string) {
 	const remedy = "name a readable PEM file, or set mode = plain on a network you trust"
 	if path == "" {
-		s.Problem(key, path, remedy)
+		s.AddProblem(key, path, remedy)
 		return
 	}
 	if _, err := os.ReadFile(path); err != nil {
-		s.Problem(key, path, remedy)
+		s.AddProblem(key, path, remedy)
 	}
 }
 
 func readOperators(s *inifile.Section) map[string]string {
-	m := s.All()
+	m := s.Values()
 	for name, hash := range m {
 		if b, err := hex.DecodeString(hash); err != nil || len(b) != 32 {
-			s.Problem(name, hash, "write the hex SHA-256 of the operator's token, as `headhillctl key` prints it")
+			s.AddProblem(name, hash, "write the hex SHA-256 of the operator's token, as `headhillctl key` prints it")
 		}
 	}
 	return m
@@ -235,5 +235,5 @@
 	s.Duration("answer-timeout", &l.AnswerTimeout, 100*time.Millisecond, time.Hour)
 	s.Duration("stop-notice", &l.StopNotice, 0, time.Minute)
 	s.Duration("stop", &l.Stop, 0, 24*time.Hour)
-	s.Done()
+	s.ReportUnknownKeys()
 }
--- a/pkg/shard/convert.go
+++ b/pkg/shard/convert.go
@@ -24,7 +24,7 @@
 		cfg.Servers = append(cfg.Servers, scheduler.Server{
 			Name:    name,
 			Slots:   max(1, int(math.Floor(float64(s.Slots)*share))),
-			Leaving: s.State == config.StateLeaving || v.ServerLeaving(name),
+			Leaving: s.State == config.ServerStateLeaving || v.ServerLeaving(name),
 		})
 	}
 	for _, c := range st.Classes() {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -115,10 +115,10 @@
 	}
 	return config.Change{
 		Classes:  []config.Class{class("high", 1), class("low", 3)},
-		Services: []config.Service{{Name: "s", Kind: config.KindEngine, Queue: testQueue}},
+		Services: []config.Service{{Name: "s", Kind: config.ServiceKindEngine, Queue: testQueue}},
 		Servers: []config.Server{
-			{Name: "v1", Service: "s", Hall: "h", Address: "127.0.0.1:1", Slots: testSlots, State: config.StateActive},
-			{Name: "v2", Service: "s", Hall: "h", Address: "127.0.0.1:2", Slots: testSlots, State: config.StateActive},
+			{Name: "v1", Service: "s", Hall: "h", Address: "127.0.0.1:1", Slots: testSlots, State: config.ServerStateActive},
+			{Name: "v2", Service: "s", Hall: "h", Address: "127.0.0.1:2", Slots: testSlots, State: config.ServerStateActive},
 		},
 	}
 }
@@ -139,7 +139,7 @@
 	for _, r := range roster {
 		store := config.NewStore(p.Client(), "p", log.NewNopLogger())
 		if store.Refresh(ctx); store.Current().Generation == 0 {
-			_, err := store.Confirm(ctx, "plan", 0, config.Accepted{Change: change})
+			_, err := store.Confirm(ctx, "plan", 0, config.AcceptedChange{Change: change})
 			require.NoError(t, err)
 		}
 		b := &testBox{id: r.ID, net: net, tracker: membership.NewTracker(r), links: map[string]*testLink{}}
@@ -375,7 +375,7 @@
 	c.Services[0].Queue = 2
 	c.Servers = nil
 	for i := range 36 {
-		v := config.Server{Name: fmt.Sprintf("v%02d", i), Service: "s", Hall: fmt.Sprint("h", i%3), Address: fmt.Sprint("127.0.0.1:", i+1), Slots: 1, State: config.StateActive}
+		v := config.Server{Name: fmt.Sprintf("v%02d", i), Service: "s", Hall: fmt.Sprint("h", i%3), Address: fmt.Sprint("127.0.0.1:", i+1), Slots: 1, State: config.ServerStateActive}
 		c.Servers = append(c.Servers, v)
 		if v.Hall == lowHall {
 			c.Classes[1].Servers = append(c.Classes[1].Servers, v.Name)
