--- /dev/null
+++ b/pkg/gateway/buffer_test.go
@@ -0,0 +1,63 @@
+package gateway
+
+import (
+	"bytes"
+	"io"
+	"strings"
+	"testing"
+	"testing/iotest"
+
+	"github.com/sourcegraph/conc"
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+)
+
+// Buffered responses must stay within MaxHeldBytes under concurrency, and their memory must be
+// released.
+func TestBufferedBytesAreBounded(t *testing.T) {
+	const maxHeldBytes = 1 << 20
+	g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: maxHeldBytes}}}
+	var wg conc.WaitGroup
+	for range 1000 {
+		wg.Go(func() {
+			x := &exchange{gateway: g}
+			_, _, err := x.bufferResponse(strings.NewReader(strings.Repeat("x", maxBufferedBytes)))
+			assert.NoError(t, err)
+			assert.LessOrEqual(t, g.HeldBytes(), int64(maxHeldBytes+1000*maxReadStep), "a refused reservation must be released at once")
+			g.heldBytes.Add(-x.reservedBytes)
+		})
+	}
+	wg.Wait()
+	assert.Zero(t, g.HeldBytes())
+}
+
+// A buffered response must be a prefix of what was sent, and be reported complete only if all of it
+// was read.
+func TestBufferedResponseMatchesSent(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		sent := bytes.Repeat([]byte("0123456789abcdef"), rapid.IntRange(0, 3*maxBufferedBytes/32).Draw(t, "16-byte blocks"))
+		g := &Gateway{Deps: Deps{Limits: Limits{MaxHeldBytes: int64(rapid.IntRange(0, 2*maxBufferedBytes).Draw(t, "max held bytes"))}}}
+		truncated := rapid.Bool().Draw(t, "truncated")
+		var reader io.Reader = bytes.NewReader(sent)
+		if truncated {
+			reader = io.MultiReader(reader, iotest.ErrReader(io.ErrUnexpectedEOF))
+		}
+		if rapid.Bool().Draw(t, "half reads") {
+			reader = iotest.HalfReader(reader)
+		}
+		x := &exchange{gateway: g}
+		body, complete, err := x.bufferResponse(reader)
+		if !bytes.HasPrefix(sent, body) {
+			t.Fatalf("buffered %d bytes are no prefix of the %d bytes sent", len(body), len(sent))
+		}
+		if complete && (truncated || len(body) != len(sent)) {
+			t.Fatalf("%d of %d bytes reported complete, truncated: %t", len(body), len(sent), truncated)
+		}
+		if !complete && err == nil && len(body) <= maxBufferedBytes && x.reservedBytes+maxReadStep <= g.Limits.MaxHeldBytes {
+			t.Fatal("response reported incomplete below both limits")
+		}
+		if x.reservedBytes > g.Limits.MaxHeldBytes {
+			t.Fatalf("%d bytes reserved, limit %d", x.reservedBytes, g.Limits.MaxHeldBytes)
+		}
+	})
+}
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -117,7 +117,7 @@
 }
 
 // New opens the ports and puts the parts together. Nothing runs before Start.
-func New(s Settings, a Adapter, logs *logflags.Logs) (*Daemon, error) {
+func New(s Settings, a Adapter, logs *logflags.Loggers) (*Daemon, error) {
 	metrics, err := telemetry.New()
 	if err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
@@ -130,12 +130,12 @@
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.directory = directory.New(logs.For(logflags.Directory))
-	d.calls = newStoreCalls(s.Rates)
+	d.calls = newStoreCalls(s.CallBudget)
 	unusable := newLeftOut(logs.For(logflags.Directory))
 	if err := metrics.AddGauges(append(beliefGauges(d.directory), d.calls.gauge(), unusable.gauge())...); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.calls.admit, LeftOut: unusable.note}
+	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.calls.admit, OnUnusableEntry: unusable.note}
 	d.source = a.Source(access)
 	self := roster.Entry{Box: s.Box.ID, Hall: s.Box.Hall, Peer: d.peerPort.LocalAddr().String(), LinkMbps: s.Limits.LinkMbps, Level: forms.Level}
 	d.roster = roster.New(a.Roster(access), self, storeLimits, logs.For(logflags.Directory))
@@ -143,11 +143,11 @@
 	d.limiter = fleetlimit.New(s.Box.ID, logs.For(logflags.Balancer))
 	balance.SetLimiter(d.limiter)
 	peerLogger := logs.For(logflags.Peer)
-	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerPort, Known: d.roster.Known, Logger: peerLogger})
+	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerPort, IsPeer: d.roster.IsPeer, Logger: peerLogger})
 	d.checker = announce.New(announce.Deps{
-		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, Look: d.look, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
+		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, RefreshRoster: d.look, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
 	})
-	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, Wait: d.snapshotWait})
+	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, ResponseTimeout: d.snapshotWait})
 	d.sweeper = roster.NewSweeper(d.roster, d.peers, peerLogger)
 	d.sharer = loadshare.New(loadshare.Deps{
 		Box: s.Box.ID, Hall: s.Box.Hall, Port: d.peers, Balancer: balance, Entries: d.roster.Entries, Logger: peerLogger,
@@ -163,7 +163,7 @@
 		return nil, oops.In("telemetry").Wrap(err)
 	}
 	d.budget = retry.NewBudget(d.retryLimits())
-	d.roster.OnChange(d.setShares)
+	d.roster.OnRefresh(d.setShares)
 	d.gateway = gateway.New(gateway.Deps{
 		Protocol: a.Protocol, Directory: d.directory, Balancer: balance,
 		Budget: d.budget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
@@ -188,7 +188,7 @@
 // directory up to it.
 func (d *Daemon) checkStore(ctx context.Context) (directory.Check, bool) {
 	asked := clock.Now()
-	revision, err := d.roster.Check(ctx)
+	revision, err := d.roster.RefreshByRank(ctx)
 	if ctx.Err() != nil {
 		return directory.Check{}, false
 	}
@@ -245,7 +245,7 @@
 // within the time that a change may take to be in force.
 func (d *Daemon) checkTiming() announce.Timing {
 	apply := d.settings.Load().Bounds.soonest()
-	return announce.Timing{Every: apply * 45 / 100, Spread: apply * 20 / 100}
+	return announce.Timing{Interval: apply * 45 / 100, Stagger: apply * 20 / 100}
 }
 
 // timing bounds the age of the belief, together with checkTiming.
@@ -276,7 +276,7 @@
 // setShares gives this box its parts of what the fleet may do.
 func (d *Daemon) setShares() {
 	d.budget.SetLimits(d.retryLimits())
-	d.calls.rates.SetBudget(d.settings.Load().Rates.Share(d.roster.Count()))
+	d.calls.rates.SetBudget(d.settings.Load().CallBudget.Share(d.roster.Count()))
 	d.duties.orderChanged()
 	d.limiter.SetBoxes(d.roster.Names(), clock.Now())
 }
@@ -322,7 +322,7 @@
 	}
 	d.connections = newConnections(d.callers)
 	questions := httprouter.New()
-	questions.GET(readiness.Path, readiness.Handle(d.Ready))
+	questions.GET(readiness.Path, readiness.Handler(d.Ready))
 	d.ready = &http.Server{Handler: questions, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	figures := httprouter.New()
 	figures.Handler(http.MethodGet, "/metrics", d.metrics.Handler())
--- a/pkg/routerd/settings.go
+++ b/pkg/routerd/settings.go
@@ -15,11 +15,11 @@
 	Listen ListenSettings
 	// Store is the address of the store that holds routes and servers.
 	Store string
-	// Rates are the calls a second that the store takes from all boxes together.
-	Rates  callrate.Budget
-	Limits LimitSettings
-	Bounds BoundSettings
-	Duties DutySettings
+	// CallBudget are the calls a second that the store takes from all boxes together.
+	CallBudget callrate.Budget
+	Limits     LimitSettings
+	Bounds     BoundSettings
+	Duties     DutySettings
 	// Regions are those of the halls, by hall. One that is not named has none, so that no request
 	// that is bound to regions is served there.
 	Regions map[string]string
@@ -75,8 +75,8 @@
 type DutySettings struct {
 	// Address is where the duties' calls go, "" where the fleet has no duties.
 	Address string
-	// Held names the duties that the fleet has.
-	Held []string
+	// Enabled names the duties that the fleet has.
+	Enabled []string
 	// Lease is the length of the lease.
 	Lease time.Duration
 	// Window is the length of a window whose usage is reported.
@@ -93,19 +93,21 @@
 )
 
 // Has tells whether the fleet has a duty.
-func (d DutySettings) Has(duty string) bool { return d.Address != "" && slices.Contains(d.Held, duty) }
+func (d DutySettings) Has(duty string) bool {
+	return d.Address != "" && slices.Contains(d.Enabled, duty)
+}
 
 // Unknown lists the duties that this program does not know.
 func (d DutySettings) Unknown() []string {
-	return slices.DeleteFunc(slices.Clone(d.Held), func(duty string) bool { return duty == DutyMetering || duty == DutyAutoscale })
+	return slices.DeleteFunc(slices.Clone(d.Enabled), func(duty string) bool { return duty == DutyMetering || duty == DutyAutoscale })
 }
 
 // DefaultSettings returns the settings that stand where the file says nothing.
 func DefaultSettings() Settings {
 	return Settings{
-		Listen: ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
-		Rates:  callrate.Default,
-		Limits: LimitSettings{MemoryMB: 512, Descriptors: 4096},
+		Listen:     ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
+		CallBudget: callrate.DefaultBudget,
+		Limits:     LimitSettings{MemoryMB: 512, Descriptors: 4096},
 		Bounds: BoundSettings{
 			Drain: 2 * time.Second, Apply: 2 * time.Second, Grace: 8 * time.Second,
 			RetryRatio: 0.1, RetrySlack: 20, RetryWindow: 10 * time.Second,
@@ -133,9 +135,9 @@
 	readLimits(f.Section("limits"), &s.Limits)
 	readBounds(f.Section("bounds"), &s.Bounds)
 	readDuties(f.Section("duties"), &s.Duties)
-	s.Regions = f.Section("regions").All()
+	s.Regions = f.Section("regions").Values()
 	s.Log.Read(f.Section("log"))
-	return s, f.Done()
+	return s, f.Finish()
 }
 
 func readBox(s *inifile.Section, b *BoxSettings) {
@@ -144,7 +146,7 @@
 	s.String("id", &b.ID)
 	s.String("hall", &b.Hall)
 	s.String("region", &b.Region)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readListen(s *inifile.Section, l *ListenSettings) {
@@ -152,21 +154,21 @@
 	s.AddrPort("ready", &l.Ready, true)
 	s.AddrPort("metrics", &l.Metrics, true)
 	s.AddrPort("peer", &l.Peer, true)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readStore(s *inifile.Section, to *Settings) {
 	s.Require("address", "write the store's IP and port, as 192.0.2.1:7000")
 	s.AddrPort("address", &to.Store, false)
-	callrate.ReadSettings(s, &to.Rates)
-	s.Done()
+	callrate.ReadSettings(s, &to.CallBudget)
+	s.ReportUnknownKeys()
 }
 
 func readLimits(s *inifile.Section, l *LimitSettings) {
 	s.Int("memory-mb", &l.MemoryMB, 32, 1<<20)
 	s.Int("descriptors", &l.Descriptors, 256, 1<<20)
 	s.Float("link-mbps", &l.LinkMbps, 0, 1<<20)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readBounds(s *inifile.Section, b *BoundSettings) {
@@ -177,14 +179,14 @@
 	s.Float("retry-ratio", &b.RetryRatio, 0, 10)
 	s.Float("retry-slack", &b.RetrySlack, 0, 1e9)
 	s.Duration("retry-window", &b.RetryWindow, 100*time.Millisecond, time.Hour)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readDuties(s *inifile.Section, d *DutySettings) {
 	s.AddrPort("address", &d.Address, false)
-	s.List("held", &d.Held)
+	s.List("held", &d.Enabled)
 	s.Duration("lease", &d.Lease, 500*time.Millisecond, time.Minute)
 	s.Duration("window", &d.Window, time.Second, time.Hour)
 	s.Float("work-value", &d.WorkValue, 0, 1e6)
-	s.Done()
+	s.ReportUnknownKeys()
 }
