--- a/pkg/loadshare/doc.go
+++ b/pkg/loadshare/doc.go
@@ -1,6 +1,6 @@
-// Package loadshare lets boxes know what all of them together have the backend
-// servers do, and where prompts are cached. Each box reports what it does itself to a
-// few relays of its hall; a relay adds the reports up and tells its hall and the
-// relays of other halls. So a box sends and gets a bounded number of datagrams,
-// however many boxes there are. What is lost makes a choice worse, never wrong.
+// Package loadshare shares the load of the backend servers and the location of cached
+// prompts among all boxes. Each box reports its own load to the relay of its hall. A relay
+// sums the reports and sends summaries to the boxes of its hall and to the relays of the
+// other halls, which bounds the number of datagrams that a box sends and receives. The data
+// is advisory: a lost datagram can make the balancer's choice worse but not incorrect.
 package loadshare
--- a/pkg/loadshare/message.go
+++ b/pkg/loadshare/message.go
@@ -15,51 +15,50 @@
 
 // Kinds of datagrams.
 const (
-	// kindReport carries what a box has servers do to a relay, kindSummary to others
-	// what a relay has added up.
+	// kindReport carries the load of one box to a relay, kindSummary the sum over several
+	// boxes from a relay.
 	kindReport  = "load-report"
 	kindSummary = "load-summary"
-	// kindPlaced carries to a relay, and kindPassed from one, where prompts went.
-	kindPlaced = "placements"
-	kindPassed = "placements-passed"
+	// kindPlacementReport carries the placements of one box to a relay, kindPlacementRelay
+	// those that a relay forwards.
+	kindPlacementReport = "placements"
+	kindPlacementRelay  = "placements-passed"
 )
 
 const (
-	// reportPause is how long changes are gathered before they are reported.
-	reportPause = 5 * time.Millisecond
-	// relayBudget is what a relay may send with its summaries, in bytes a second. The
-	// target allows a box 18 KB/s for control; one box of a hall is a relay.
-	relayBudget = 32 << 10
-	// summaryPauseLeast and summaryPauseMost bound the time between two summaries: a
-	// change is not older than that, also where the budget would ask for more.
-	summaryPauseLeast = 5 * time.Millisecond
-	summaryPauseMost  = 80 * time.Millisecond
-	// hallsPause is the least time between two summaries to other halls: bytes between
-	// halls are dear.
-	hallsPause = 40 * time.Millisecond
-	// refreshDefault is how often loads are sent again though nothing has changed, as
-	// datagrams are lost.
-	refreshDefault = time.Second
-	// believed is how long a box's word is taken.
-	believed = 3 * time.Second
-	// loadsMost and placementsMost bound what one datagram holds.
-	loadsMost      = 100
-	placementsMost = 50
+	// reportDelay is how long changes are batched before they are reported.
+	reportDelay = 5 * time.Millisecond
+	// relayBytesPerSecond limits the rate at which a relay sends summaries.
+	relayBytesPerSecond = 32 << 10
+	// minSummaryInterval and maxSummaryInterval bound the time between two summaries. The
+	// upper bound takes precedence over relayBytesPerSecond.
+	minSummaryInterval = 5 * time.Millisecond
+	maxSummaryInterval = 80 * time.Millisecond
+	// interHallInterval is the minimum time between two summaries to other halls. It saves
+	// bandwidth on the links between halls.
+	interHallInterval = 40 * time.Millisecond
+	// defaultRefreshInterval is how often unchanged loads are resent, since datagrams may be
+	// lost.
+	defaultRefreshInterval = time.Second
+	// reportTTL is how long a report counts after it was received.
+	reportTTL = 3 * time.Second
+	// maxLoadsPerDatagram and maxPlacementsPerDatagram limit the size of one datagram.
+	maxLoadsPerDatagram      = 100
+	maxPlacementsPerDatagram = 50
 )
 
-// pauseAfter is the time until the next summary, after one of so many bytes.
-func pauseAfter(bytes int) time.Duration {
-	pause := time.Duration(float64(bytes) / relayBudget * float64(time.Second))
-	return min(max(pause, summaryPauseLeast), summaryPauseMost)
+// summaryInterval returns the time until the next summary, given the bytes of the last one.
+func summaryInterval(bytes int) time.Duration {
+	interval := time.Duration(float64(bytes) / relayBytesPerSecond * float64(time.Second))
+	return min(max(interval, minSummaryInterval), maxSummaryInterval)
 }
 
-// Loads and demands of some boxes.
 type (
 	loads   = map[balancer.ServerKey]balancer.Load
 	demands = map[balancer.ServiceKey]balancer.Demand
 )
 
-// work is what some boxes have the servers do.
+// work is the load, demand and server signals reported by one or more boxes.
 type work struct {
 	loads   loads
 	demands demands
@@ -70,10 +69,10 @@
 	return work{loads: make(loads), demands: make(demands), signals: make(signals.Observations)}
 }
 
-// split cuts a round of loads into messages.
-func split(hall string, round uint32, all work, now time.Time) []*loadpb.Loads {
+// splitRound encodes a round as messages that each fit into a datagram.
+func splitRound(hall string, round uint32, all work, now time.Time) []*loadpb.Loads {
 	list := []*loadpb.Loads{{Hall: hall, Round: round}}
-	for _, key := range latest(all.signals) {
+	for _, key := range latestSignals(all.signals) {
 		list[0].Signals = append(list[0].Signals, encodeSignal(key, all.signals[key], now))
 	}
 	for key, d := range all.demands {
@@ -81,7 +80,7 @@
 	}
 	for key, l := range all.loads {
 		m := list[len(list)-1]
-		if len(m.Servers)+len(m.Down)+len(m.Failing) >= loadsMost {
+		if len(m.Servers)+len(m.Down)+len(m.Failing) >= maxLoadsPerDatagram {
 			m = &loadpb.Loads{Hall: hall, Round: round}
 			list = append(list, m)
 		}
@@ -115,40 +114,40 @@
 	return p
 }
 
-// decodeDemand reads a demand. Ranks that are none are left out.
+// decodeDemand decodes a demand. Invalid ranks are ignored.
 func decodeDemand(p *loadpb.Demand) balancer.Demand {
 	d := balancer.Demand{
-		Interactive: float64(p.GetInteractive()), Bulk: float64(p.GetBulk()), SpeedSum: float64(max(0, p.GetSpeeds())), Samples: bounded(p.GetSamples()),
+		Interactive: float64(p.GetInteractive()), Bulk: float64(p.GetBulk()), SpeedSum: float64(max(0, p.GetSpeeds())), Samples: clamp(p.GetSamples()),
 	}
 	for i, rank := range p.GetWaitingRanks() {
 		if int(rank) < len(d.PendingPrefill) && i < len(p.GetWaiting()) {
-			d.PendingPrefill[rank] = bounded(p.GetWaiting()[i])
+			d.PendingPrefill[rank] = clamp(p.GetWaiting()[i])
 		}
 	}
 	return d
 }
 
-// signalsMost bounds the signals of one round: many servers may leave at once.
-const signalsMost = 32
+// maxSignals limits the signals of one round.
+const maxSignals = 32
 
-// latest are the servers with the latest observations, some at the most.
-func latest(list signals.Observations) []signals.Key {
+// latestSignals returns the keys of the most recent observations, at most maxSignals.
+func latestSignals(list signals.Observations) []signals.Key {
 	keys := slices.SortedFunc(maps.Keys(list), func(a, b signals.Key) int { return list[b].ReceivedAt.Compare(list[a].ReceivedAt) })
-	return keys[:min(len(keys), signalsMost)]
+	return keys[:min(len(keys), maxSignals)]
 }
 
 func encodeSignal(key signals.Key, o signals.Observation, now time.Time) *loadpb.Signal {
-	p := &loadpb.Signal{Server: uint32(key), AgeMs: uint32(min(max(now.Sub(o.ReceivedAt).Milliseconds(), 0), signalAgeMostMS)), Leaving: o.Leaving}
+	p := &loadpb.Signal{Server: uint32(key), AgeMs: uint32(min(max(now.Sub(o.ReceivedAt).Milliseconds(), 0), maxSignalAgeMS)), Leaving: o.Leaving}
 	if o.Limit.Set {
 		p.Limit = proto.Float64(o.Limit.PerSecond)
 	}
 	return p
 }
 
-// signalAgeMostMS bounds the age of a signal that is sent, in milliseconds: none is believed for so long.
-const signalAgeMostMS = 3_600_000
+// maxSignalAgeMS caps the age sent with a signal. It exceeds the lifetime of every signal.
+const maxSignalAgeMS = 3_600_000
 
-// decodeSignal reads a signal. It returns false for one that can't be meant.
+// decodeSignal decodes a signal. It returns false if the limit is invalid.
 func decodeSignal(p *loadpb.Signal, received time.Time) (signals.Observation, bool) {
 	o := signals.Observation{ReceivedAt: received.Add(-time.Duration(p.GetAgeMs()) * time.Millisecond), Leaving: p.GetLeaving()}
 	if p.Limit != nil {
@@ -157,8 +156,8 @@
 	return o, o.Limit.PerSecond >= 0 && !math.IsInf(o.Limit.PerSecond, 0)
 }
 
-// read adds a message's loads to those of its round.
-func read(m *loadpb.Loads, w work, received time.Time) {
+// mergeMessage adds the contents of a message to the work of its round.
+func mergeMessage(m *loadpb.Loads, w work, received time.Time) {
 	to := w.loads
 	for _, p := range m.GetSignals() {
 		if o, ok := decodeSignal(p, received); ok {
@@ -170,31 +169,31 @@
 	}
 	for i, key := range m.GetServers() {
 		l := to[balancer.ServerKey(key)]
-		l.Backlog = bounded(m.GetBacklog()[i])
-		l.Running = bounded(m.GetRunning()[i])
-		l.MemoryTokens = bounded(m.GetMemory()[i])
+		l.Backlog = clamp(m.GetBacklog()[i])
+		l.Running = clamp(m.GetRunning()[i])
+		l.MemoryTokens = clamp(m.GetMemory()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 	for i, key := range m.GetDown() {
 		l := to[balancer.ServerKey(key)]
-		l.DownReports = bounded(m.GetBoxes()[i])
+		l.DownReports = clamp(m.GetBoxes()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 	for i, key := range m.GetFailing() {
 		l := to[balancer.ServerKey(key)]
-		l.FailureReports = bounded(m.GetFailingBoxes()[i])
-		l.ScaledFailures = bounded(m.GetFailed()[i])
-		l.ScaledCalls = bounded(m.GetCalls()[i])
+		l.FailureReports = clamp(m.GetFailingBoxes()[i])
+		l.ScaledFailures = clamp(m.GetFailed()[i])
+		l.ScaledCalls = clamp(m.GetCalls()[i])
 		to[balancer.ServerKey(key)] = l
 	}
 }
 
-// valueMost bounds a value that is believed.
-const valueMost = 1 << 28
+// maxValue caps every value decoded from a datagram.
+const maxValue = 1 << 28
 
-func bounded(v uint32) int { return int(min(v, valueMost)) }
+func clamp(v uint32) int { return int(min(v, maxValue)) }
 
-func placementsOf(list []*loadpb.Placement) []balancer.Placement {
+func decodePlacements(list []*loadpb.Placement) []balancer.Placement {
 	placements := make([]balancer.Placement, len(list))
 	for i, p := range list {
 		placements[i] = balancer.Placement{Server: balancer.ServerKey(p.GetServer()), Parts: p.GetParts(), Prefilled: p.GetPrefilled()}
@@ -202,7 +201,7 @@
 	return placements
 }
 
-func placementsMessage(hall string, list []balancer.Placement) *loadpb.Placements {
+func encodePlacements(hall string, list []balancer.Placement) *loadpb.Placements {
 	m := &loadpb.Placements{Hall: hall}
 	for _, p := range list {
 		m.Placements = append(m.Placements, &loadpb.Placement{Server: uint32(p.Server), Prefilled: p.Prefilled, Parts: p.Parts})
@@ -210,7 +209,7 @@
 	return m
 }
 
-// rounds puts the parts of each sender's latest round together.
+// rounds reassembles the parts of the latest round of each sender.
 type rounds map[string]*pendingRound
 
 type pendingRound struct {
@@ -219,12 +218,12 @@
 	work  work
 }
 
-// partsMost bounds the parts of a round that is believed.
-const partsMost = 1000
+// maxParts limits the parts of a round. Rounds with more are dropped.
+const maxParts = 1000
 
-// add takes a part in. It returns the whole round with its last part.
+// add records a part of a round. It returns the work of the round once all parts have arrived.
 func (r rounds) add(sender string, m *loadpb.Loads, received time.Time) (work, bool) {
-	if m.GetParts() > partsMost || m.GetPart() >= m.GetParts() || !wellFormed(m) {
+	if m.GetParts() > maxParts || m.GetPart() >= m.GetParts() || !wellFormed(m) {
 		return work{}, false
 	}
 	p := r[sender]
@@ -233,7 +232,7 @@
 		r[sender] = p
 	}
 	p.parts[m.GetPart()] = true
-	read(m, p.work, received)
+	mergeMessage(m, p.work, received)
 	if len(p.parts) < int(m.GetParts()) {
 		return work{}, false
 	}
@@ -241,7 +240,7 @@
 	return p.work, true
 }
 
-// wellFormed tells whether the lists of a message that belong together have one length.
+// wellFormed reports whether the parallel lists of a message have equal lengths.
 func wellFormed(m *loadpb.Loads) bool {
 	servers, failing := len(m.GetServers()), len(m.GetFailing())
 	return len(m.GetBacklog()) == servers && len(m.GetRunning()) == servers &&
@@ -249,47 +248,47 @@
 		len(m.GetFailingBoxes()) == failing && len(m.GetFailed()) == failing && len(m.GetCalls()) == failing
 }
 
-// workTable holds what some senders have reported last.
+// workTable holds the last report of each sender.
 type workTable map[string]reportedWork
 
 type reportedWork struct {
 	work
-	heard time.Time
+	receivedAt time.Time
 }
 
-// sum adds up what all senders have reported.
+// sum returns the total of all reports that have not expired.
 func (t workTable) sum(now time.Time) work {
 	total := newWork()
 	for _, w := range t {
-		if now.Sub(w.heard) <= believed {
+		if now.Sub(w.receivedAt) <= reportTTL {
 			total.add(w.work)
 		}
 	}
 	return total
 }
 
-// forget drops senders that have fallen silent.
-func (t workTable) forget(now time.Time) {
+// evictStale removes the reports that have expired.
+func (t workTable) evictStale(now time.Time) {
 	for sender, w := range t {
-		if now.Sub(w.heard) > believed {
+		if now.Sub(w.receivedAt) > reportTTL {
 			delete(t, sender)
 		}
 	}
 }
 
-// add adds other work to this.
-func (w work) add(more work) {
-	for key, l := range more.loads {
+// add adds other to w in place.
+func (w work) add(other work) {
+	for key, l := range other.loads {
 		w.loads[key] = w.loads[key].Plus(l)
 	}
-	for key, d := range more.demands {
+	for key, d := range other.demands {
 		w.demands[key] = w.demands[key].Plus(d)
 	}
-	w.signals.Merge(more.signals)
+	w.signals.Merge(other.signals)
 }
 
-// without is a total less the work of one sender. The total may hold an older word of
-// that sender. Signals are not added up, so that none is taken off.
+// without returns the total minus the work of one sender. The total may contain an older
+// report of that sender. Signals are merged rather than summed, so they stay.
 func (w work) without(part work) work {
 	rest := work{loads: maps.Clone(w.loads), demands: maps.Clone(w.demands), signals: w.signals}
 	for key, l := range part.loads {
--- a/pkg/loadshare/relays.go
+++ b/pkg/loadshare/relays.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// relaysPerHall is how many boxes of a hall add its reports up. Two cost four times
-	// the datagrams between halls, and a lost one is soon replaced.
+	// relaysPerHall is how many boxes of a hall sum its reports. The datagrams between halls
+	// grow with its square.
 	relaysPerHall = 1
-	// silentAfter is how long a relay may say nothing to a box that reports to it,
-	// silentFor how long another one takes its place.
-	silentAfter = 800 * time.Millisecond
-	silentFor   = 10 * time.Second
+	// relayTimeout is how long a relay may leave reports without a summary before it counts
+	// as failed, relayBackoff how long a failed relay is skipped.
+	relayTimeout = 800 * time.Millisecond
+	relayBackoff = 10 * time.Second
 )
 
-// member is a box of the roster as this package uses it.
+// member is a box of the roster with a resolved address.
 type member struct {
 	box     string
 	hall    string
 	address *net.UDPAddr
 }
 
-// membersOf reads the roster's entries, in the order in which boxes relay.
+// membersOf returns the roster entries that have a valid address, in the order in which boxes
+// are chosen as relays.
 func membersOf(entries []roster.Entry) []member {
 	members := make([]member, 0, len(entries))
 	for _, e := range roster.SortByRank(entries) {
@@ -35,41 +36,41 @@
 	return members
 }
 
-// silence tracks which relays do not answer.
-type silence struct {
-	// since is when a relay was first sent a report without an answer, until how long it is
-	// passed over.
-	since map[string]time.Time
-	until map[string]time.Time
+// relayHealth tracks which relays do not respond.
+type relayHealth struct {
+	// unansweredSince is when the first report without a summary was sent to a relay,
+	// skipUntil the end of its backoff.
+	unansweredSince map[string]time.Time
+	skipUntil       map[string]time.Time
 }
 
-func newSilence() silence {
-	return silence{since: make(map[string]time.Time), until: make(map[string]time.Time)}
+func newRelayHealth() relayHealth {
+	return relayHealth{unansweredSince: make(map[string]time.Time), skipUntil: make(map[string]time.Time)}
 }
 
-// heard notes that a relay has sent a summary.
-func (s silence) heard(box string) {
-	delete(s.since, box)
-	delete(s.until, box)
+// recordSummary records that a relay has sent a summary.
+func (s relayHealth) recordSummary(box string) {
+	delete(s.unansweredSince, box)
+	delete(s.skipUntil, box)
 }
 
-// reported notes that a relay was sent a report.
-func (s silence) reported(box string, now time.Time) {
-	since, waiting := s.since[box]
+// recordReport records that a report was sent to a relay.
+func (s relayHealth) recordReport(box string, now time.Time) {
+	since, waiting := s.unansweredSince[box]
 	switch {
 	case !waiting:
-		s.since[box] = now
-	case now.Sub(since) > silentAfter:
-		delete(s.since, box)
-		s.until[box] = now.Add(silentFor)
+		s.unansweredSince[box] = now
+	case now.Sub(since) > relayTimeout:
+		delete(s.unansweredSince, box)
+		s.skipUntil[box] = now.Add(relayBackoff)
 	}
 }
 
-// relays are the boxes that add up the reports of a hall: the first that answer.
-func (s silence) relays(members []member, hall string, now time.Time) []member {
+// relays returns the relays of a hall: the first members that are not in backoff.
+func (s relayHealth) relays(members []member, hall string, now time.Time) []member {
 	var list []member
 	for _, m := range members {
-		if m.hall != hall || now.Before(s.until[m.box]) {
+		if m.hall != hall || now.Before(s.skipUntil[m.box]) {
 			continue
 		}
 		if list = append(list, m); len(list) == relaysPerHall {
--- a/pkg/loadshare/sharer.go
+++ b/pkg/loadshare/sharer.go
@@ -19,48 +19,50 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// Deps are what a Sharer is built on.
+// Deps are the dependencies of a Sharer.
 type Deps struct {
 	Box      string
 	Hall     string
 	Port     *datagram.Port
 	Balancer *balancer.Balancer
-	// Entries lists the boxes, this one included.
+	// Entries returns the roster, including this box.
 	Entries func() []roster.Entry
 	Logger  log.Logger
-	// RefreshInterval is how often loads are sent again though nothing has changed; zero stands for
-	// refreshDefault.
+	// RefreshInterval is how often unchanged loads are resent. Zero means
+	// defaultRefreshInterval.
 	RefreshInterval time.Duration
 }
 
-// Sharer reports this box's loads and, where it is a relay, adds up those of others.
-// One goroutine holds all its state.
+// Sharer reports the load of this box and, on a relay, sums the reports of other boxes.
+// All state is owned by the goroutine that executes Run.
 type Sharer struct {
 	Deps
 	changed chan struct{}
 	inbox   chan message
 
-	silence silence
-	// round numbers the rounds that this box sends.
-	round  uint32
+	relayHealth relayHealth
+	// round is the number of the last round that this box sent.
+	round uint32
+	// rounds holds the received rounds that are incomplete.
 	rounds rounds
-	// boxes are the reports of this hall's boxes, halls the summaries of others'.
-	boxes workTable
-	halls workTable
-	// hall are the other boxes of this hall, otherHalls the relays of other halls, as far
-	// as this box is a relay.
-	hall       audience
-	otherHalls audience
-	// reported is what this box reported last.
+	// boxReports holds the reports of the boxes of this hall, hallSummaries the summaries of
+	// the other halls.
+	boxReports    workTable
+	hallSummaries workTable
+	// hall is the state of the summaries to the boxes of this hall, otherHalls that of the
+	// summaries to the relays of other halls. Both are used only on a relay.
+	hall       destination
+	otherHalls destination
+	// reported is the last report of this box.
 	reported work
-	// known is worked out from entries.
-	entries []roster.Entry
-	known   []member
-	// idle says that the last report held nothing.
-	idle bool
+	// cachedMembers is derived from cachedEntries.
+	cachedEntries []roster.Entry
+	cachedMembers []member
+	// lastReportEmpty is set if the last report was empty.
+	lastReportEmpty bool
 }
 
-// message is one that has arrived: loads or placements are set.
+// message is a received message. Either loads or placements is set.
 type message struct {
 	kind       string
 	from       string
@@ -69,14 +71,14 @@
 	placements *loadpb.Placements
 }
 
-// inboxMost bounds the messages that wait; more are dropped.
-const inboxMost = 256
+// inboxCapacity limits the pending messages. Further ones are dropped.
+const inboxCapacity = 256
 
-// New returns a sharer that hears the port's messages from now on.
+// New returns a Sharer and registers its handlers on the port and the balancer.
 func New(d Deps) *Sharer {
 	s := &Sharer{
-		Deps: d, changed: make(chan struct{}, 1), inbox: make(chan message, inboxMost), round: rand.Uint32(),
-		silence: newSilence(), boxes: make(workTable), halls: make(workTable), rounds: make(rounds),
+		Deps: d, changed: make(chan struct{}, 1), inbox: make(chan message, inboxCapacity), round: rand.Uint32(),
+		relayHealth: newRelayHealth(), boxReports: make(workTable), hallSummaries: make(workTable), rounds: make(rounds),
 	}
 	for _, kind := range []string{kindReport, kindSummary} {
 		d.Port.Handle(kind, func(m datagram.Message) {
@@ -84,7 +86,7 @@
 			s.receive(m, body, message{kind: kind, loads: body})
 		})
 	}
-	for _, kind := range []string{kindPlaced, kindPassed} {
+	for _, kind := range []string{kindPlacementReport, kindPlacementRelay} {
 		d.Port.Handle(kind, func(m datagram.Message) {
 			body := &loadpb.Placements{}
 			s.receive(m, body, message{kind: kind, placements: body})
@@ -99,7 +101,7 @@
 	return s
 }
 
-// receive decodes a message and hands it to the sharer's goroutine.
+// receive decodes a message and queues it for Run.
 func (s *Sharer) receive(m datagram.Message, body proto.Message, in message) {
 	if err := proto.Unmarshal(m.Body, body); err != nil {
 		_ = level.Debug(s.Logger).Log("msg", "load message dropped", "from", m.Box, "err", err)
@@ -114,7 +116,7 @@
 
 // Run shares loads until ctx ends.
 func (s *Sharer) Run(ctx context.Context) {
-	ticker := time.NewTicker(cmp.Or(s.RefreshInterval, refreshDefault))
+	ticker := time.NewTicker(cmp.Or(s.RefreshInterval, defaultRefreshInterval))
 	defer ticker.Stop()
 	summary := time.NewTimer(0)
 	defer summary.Stop()
@@ -127,24 +129,24 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.boxes.forget(clock.Now())
-			s.halls.forget(clock.Now())
+			s.boxReports.evictStale(clock.Now())
+			s.hallSummaries.evictStale(clock.Now())
 			s.refreshSummaries()
 			s.report(clock.Now())
 		case <-s.changed:
-			s.gather(ctx, reportPause)
+			s.collect(ctx, reportDelay)
 			s.report(clock.Now())
 		case in := <-s.inbox:
-			s.take(in)
+			s.handle(in)
 		case <-summary.C:
-			s.summarise(clock.Now())
+			s.sendSummaries(clock.Now())
 		}
 	}
 }
 
-// gather waits a moment, so that what comes close together goes out together.
-func (s *Sharer) gather(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(max(pause, 0))
+// collect handles messages for the given delay, so that changes are sent in batches.
+func (s *Sharer) collect(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(max(delay, 0))
 	defer timer.Stop()
 	for {
 		select {
@@ -153,85 +155,85 @@
 		case <-timer.C:
 			return
 		case in := <-s.inbox:
-			s.take(in)
+			s.handle(in)
 		}
 	}
 }
 
-// take takes one message in.
-func (s *Sharer) take(in message) {
+// handle processes one received message.
+func (s *Sharer) handle(in message) {
 	if in.placements != nil {
-		s.place(in)
+		s.handlePlacements(in)
 		return
 	}
-	all, whole := s.rounds.add(in.from, in.loads, in.received)
+	all, complete := s.rounds.add(in.from, in.loads, in.received)
 	switch {
-	case !whole:
+	case !complete:
 	case in.kind == kindReport:
-		s.noteWork(in.from, all, in.received)
+		s.recordWork(in.from, all, in.received)
 	case in.loads.GetHall() == s.Hall:
-		s.silence.heard(in.from)
-		s.setOthers(all, in.received)
+		s.relayHealth.recordSummary(in.from)
+		s.setPeerLoads(all, in.received)
 	default:
-		s.halls[in.loads.GetHall()] = reportedWork{work: all, heard: in.received}
-		s.hall.changed = true
+		s.hallSummaries[in.loads.GetHall()] = reportedWork{work: all, receivedAt: in.received}
+		s.hall.dirty = true
 	}
 }
 
-// place takes placements in. A relay passes on to its hall what it hears from there
-// or from another hall, and to other halls what it hears from its own.
-func (s *Sharer) place(in message) {
-	list := placementsOf(in.placements.GetPlacements())
+// handlePlacements records received placements. A relay forwards placements of its own hall
+// to all halls, and those of other halls to its own hall.
+func (s *Sharer) handlePlacements(in message) {
+	list := decodePlacements(in.placements.GetPlacements())
 	if in.from != s.Box {
 		s.Balancer.RecordPlacements(list, in.received)
 	}
 	switch {
-	case in.kind == kindPlaced:
-		s.notePlacements(list)
+	case in.kind == kindPlacementReport:
+		s.relayPlacements(list)
 	case in.placements.GetHall() != s.Hall:
-		s.hall.add(list)
+		s.hall.addPlacements(list)
 	}
 }
 
-// report sends this hall's relays what this box does. That it does nothing is sent once.
+// report sends the load of this box to the relays of its hall. An empty report is sent once.
 func (s *Sharer) report(now time.Time) {
 	r := s.Balancer.Report(now)
 	empty := len(r.Loads) == 0 && len(r.Placements) == 0 && len(r.Signals) == 0
-	if empty && s.idle {
+	if empty && s.lastReportEmpty {
 		return
 	}
-	s.idle, s.reported = empty, work{loads: r.Loads, demands: r.Demands, signals: r.Signals}
-	relays := s.silence.relays(s.members(), s.Hall, now)
+	s.lastReportEmpty, s.reported = empty, work{loads: r.Loads, demands: r.Demands, signals: r.Signals}
+	relays := s.relayHealth.relays(s.members(), s.Hall, now)
 	var others []*net.UDPAddr
 	for _, m := range relays {
 		if m.box == s.Box {
-			s.noteWork(s.Box, s.reported, now)
-			s.notePlacements(r.Placements)
+			s.recordWork(s.Box, s.reported, now)
+			s.relayPlacements(r.Placements)
 			continue
 		}
-		s.silence.reported(m.box, now)
+		s.relayHealth.recordReport(m.box, now)
 		others = append(others, m.address)
 	}
-	s.sendWork(kindReport, s.reported, others)
-	s.sendPlacements(kindPlaced, r.Placements, others)
+	s.sendRound(kindReport, s.reported, others)
+	s.sendPlacements(kindPlacementReport, r.Placements, others)
 }
 
-// noteWork notes what a box of this hall does, for the hall and for the other halls.
-func (s *Sharer) noteWork(box string, w work, at time.Time) {
-	s.boxes[box] = reportedWork{work: w, heard: at}
-	s.hall.changed, s.otherHalls.changed = true, true
+// recordWork records the report of a box of this hall and schedules summaries to all halls.
+func (s *Sharer) recordWork(box string, w work, at time.Time) {
+	s.boxReports[box] = reportedWork{work: w, receivedAt: at}
+	s.hall.dirty, s.otherHalls.dirty = true, true
 }
 
-// notePlacements notes placements of a box of this hall, for the hall and for the others.
-func (s *Sharer) notePlacements(list []balancer.Placement) {
-	s.hall.add(list)
-	s.otherHalls.add(list)
+// relayPlacements queues placements of a box of this hall for all halls.
+func (s *Sharer) relayPlacements(list []balancer.Placement) {
+	s.hall.addPlacements(list)
+	s.otherHalls.addPlacements(list)
 }
 
-// sendWork sends a round of loads. It returns the bytes sent.
-func (s *Sharer) sendWork(kind string, all work, to []*net.UDPAddr) (sent int) {
+// sendRound sends a round of loads. It returns the bytes sent.
+func (s *Sharer) sendRound(kind string, all work, to []*net.UDPAddr) (sent int) {
 	s.round++
-	for _, m := range split(s.Hall, s.round, all, clock.Now()) {
+	for _, m := range splitRound(s.Hall, s.round, all, clock.Now()) {
 		sent += s.send(kind, m, to)
 	}
 	return sent
@@ -239,8 +241,8 @@
 
 // sendPlacements sends placements. It returns the bytes sent.
 func (s *Sharer) sendPlacements(kind string, list []balancer.Placement, to []*net.UDPAddr) (sent int) {
-	for chunk := range slices.Chunk(list, placementsMost) {
-		sent += s.send(kind, placementsMessage(s.Hall, chunk), to)
+	for chunk := range slices.Chunk(list, maxPlacementsPerDatagram) {
+		sent += s.send(kind, encodePlacements(s.Hall, chunk), to)
 	}
 	return sent
 }
@@ -249,27 +251,26 @@
 func (s *Sharer) send(kind string, m proto.Message, to []*net.UDPAddr) int {
 	body, err := proto.Marshal(m)
 	if err != nil {
-		_ = level.Warn(s.Logger).Log("msg", "load message not sent: it can't be encoded", "kind", kind, "err", err)
+		_ = level.Warn(s.Logger).Log("msg", "load message not sent: encoding failed", "kind", kind, "err", err)
 		return 0
 	}
 	s.Port.Send(kind, body, to...)
 	return len(body) * len(to)
 }
 
-// setOthers hands the balancer what all boxes do, less what this one has reported of
-// itself.
-func (s *Sharer) setOthers(total work, now time.Time) {
-	others := total.without(s.reported)
-	s.Balancer.SetPeerLoads(others.loads, others.demands, now)
+// setPeerLoads passes the total load to the balancer, minus the last report of this box.
+func (s *Sharer) setPeerLoads(total work, now time.Time) {
+	peers := total.without(s.reported)
+	s.Balancer.SetPeerLoads(peers.loads, peers.demands, now)
 	s.Balancer.Signals().MergeRemote(total.signals, now)
 }
 
-// members are the boxes of the roster, worked out anew when that has changed.
+// members returns the members of the roster, cached until the roster changes.
 func (s *Sharer) members() []member {
 	entries := s.Entries()
-	if len(entries) == 0 || len(s.entries) == len(entries) && &s.entries[0] == &entries[0] {
-		return s.known
+	if len(entries) == 0 || len(s.cachedEntries) == len(entries) && &s.cachedEntries[0] == &entries[0] {
+		return s.cachedMembers
 	}
-	s.entries, s.known = entries, membersOf(entries)
-	return s.known
+	s.cachedEntries, s.cachedMembers = entries, membersOf(entries)
+	return s.cachedMembers
 }
--- a/pkg/loadshare/sharer_test.go
+++ b/pkg/loadshare/sharer_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	soon  = 10 * time.Second
-	check = 5 * time.Millisecond
-	// settled is many times what a change takes to all boxes.
-	settled = 2 * time.Second
+	eventTimeout = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
+	// settleTime is ample time for a change to reach all boxes.
+	settleTime = 2 * time.Second
 )
 
-// fleet is some boxes that share their loads, by number.
+// fleet is a group of boxes that share their loads.
 type fleet struct {
 	boxes []*box
 }
@@ -42,8 +42,8 @@
 	cancel   context.CancelFunc
 }
 
-// withFleet runs boxes that stand in halls by turns.
-func withFleet(t *testing.T, count, halls int, f func(*fleet), change ...func(*Deps)) {
+// withFleet runs f with boxes that are assigned to halls round-robin.
+func withFleet(t *testing.T, count, halls int, f func(*fleet), options ...func(*Deps)) {
 	var entries []roster.Entry
 	x := &fleet{}
 	known := make(map[netip.AddrPort]bool)
@@ -64,7 +64,7 @@
 			Box: entries[i].Box, Hall: entries[i].Hall, Port: port, Balancer: b.balancer, Logger: log.NewNopLogger(),
 			Entries: func() []roster.Entry { return entries },
 		}
-		for _, c := range change {
+		for _, c := range options {
 			c(&deps)
 		}
 		s := New(deps)
@@ -85,8 +85,8 @@
 	b.conn.Close()
 }
 
-// prompt asks for a server of the model for a prompt with a shared prefix.
-func prompt(servers int, prefix string) balancer.Query {
+// promptQuery returns a query for a prompt that starts with a shared prefix.
+func promptQuery(servers int, prefix string) balancer.Query {
 	q := balancer.Query{
 		Engine: true, PromptTokens: 9000, Hall: "hall-0",
 		Parts: []balancer.Part{{ID: prefix, Tokens: 8000}, {ID: "own", Tokens: 1000}},
@@ -98,24 +98,24 @@
 	return q
 }
 
-// others is what a box believes that the others have the only server do.
-func (b *box) others() int {
-	l, _ := b.balancer.Pick(prompt(1, "probe"), time.Now())
+// peerBacklog returns the backlog of the only server that the box attributes to its peers.
+func (b *box) peerBacklog() int {
+	l, _ := b.balancer.Pick(promptQuery(1, "probe"), time.Now())
 	defer l.Done(balancer.ResultAbandoned, time.Now())
 	return l.Inputs.PeerBacklog
 }
 
-func TestAllBoxesKnowAllLoads(t *testing.T) {
+func TestLoadsReachAllBoxes(t *testing.T) {
 	withFleet(t, 12, 3, func(x *fleet) {
-		lease, _ := x.boxes[4].balancer.Pick(prompt(1, "part"), time.Now())
+		lease, _ := x.boxes[4].balancer.Pick(promptQuery(1, "part"), time.Now())
 		for i, b := range x.boxes {
 			if i != 4 {
-				require.Eventually(t, func() bool { return b.others() >= 9000 }, soon, check, "box %d", i)
+				require.Eventually(t, func() bool { return b.peerBacklog() >= 9000 }, eventTimeout, pollInterval, "box %d", i)
 			}
 		}
 		lease.Done(balancer.ResultDone, time.Now())
 		for i, b := range x.boxes {
-			require.Eventually(t, func() bool { return b.others() == 0 }, soon, 10*check, "box %d hears of the end", i)
+			require.Eventually(t, func() bool { return b.peerBacklog() == 0 }, eventTimeout, 10*pollInterval, "box %d is notified of the end", i)
 		}
 	})
 }
@@ -124,52 +124,52 @@
 	withFleet(t, 12, 3, func(x *fleet) {
 		for i := range 200 {
 			name := fmt.Sprintf("part-%d", i)
-			lease, _ := x.boxes[i%12].balancer.Pick(prompt(9, name), time.Now())
+			lease, _ := x.boxes[i%12].balancer.Pick(promptQuery(9, name), time.Now())
 			lease.PrefillDone(time.Now())
 			lease.Done(balancer.ResultDone, time.Now())
 		}
 		for i, b := range x.boxes {
 			require.Eventually(t, func() bool {
 				for j := range 200 {
-					if !b.knows(fmt.Sprintf("part-%d", j)) {
+					if !b.knowsPrefix(fmt.Sprintf("part-%d", j)) {
 						return false
 					}
 				}
 				return true
-			}, soon, 10*check, "box %d", i)
+			}, eventTimeout, 10*pollInterval, "box %d", i)
 		}
 	})
 }
 
-// knows tells whether a box knows a server that has cached a prefix. It sends nothing there.
-func (b *box) knows(prefix string) bool {
-	q := prompt(9, prefix)
+// knowsPrefix reports whether a box knows a server that has cached a prefix.
+func (b *box) knowsPrefix(prefix string) bool {
+	q := promptQuery(9, prefix)
 	q.Engine = false
 	l, _ := b.balancer.Pick(q, time.Now())
 	l.Done(balancer.ResultAbandoned, time.Now())
 	return l.Inputs.CachedTokens == 8000 && !l.Inputs.Home
 }
 
-// What happens just after a summary reaches all boxes, also those of other halls, though
-// nothing happens after it and nothing is sent again.
+// A change made right after a summary reaches all boxes of all halls, without further changes
+// and without a refresh.
 func TestLastChangesReachAllBoxes(t *testing.T) {
 	withFleet(t, 12, 3, func(x *fleet) {
 		for i := range 200 {
-			lease, _ := x.boxes[i%12].balancer.Pick(prompt(9, fmt.Sprintf("part-%d", i)), time.Now())
+			lease, _ := x.boxes[i%12].balancer.Pick(promptQuery(9, fmt.Sprintf("part-%d", i)), time.Now())
 			lease.PrefillDone(time.Now())
 			lease.Done(balancer.ResultDone, time.Now())
 		}
-		// A look makes a box report, so that there is one only, long after all has arrived.
-		time.Sleep(settled)
+		// Querying a box triggers a report, so each box is queried only once, at the end.
+		time.Sleep(settleTime)
 		for i, b := range x.boxes {
 			for j := range 200 {
-				require.True(t, b.knows(fmt.Sprintf("part-%d", j)), "box %d, part %d", i, j)
+				require.True(t, b.knowsPrefix(fmt.Sprintf("part-%d", j)), "box %d, part %d", i, j)
 			}
 		}
 	}, func(d *Deps) { d.RefreshInterval = time.Hour })
 }
 
-// Boxes with the fastest links relay, whatever their names.
+// Boxes with the fastest links are chosen as relays, regardless of their names.
 func TestBoxesWithFastLinksRelay(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 30 {
@@ -186,12 +186,12 @@
 	for i, m := range membersOf(entries)[:3] {
 		assert.Equal(t, 200.0, links[m.box], "member %d", i)
 	}
-	relay := newSilence().relays(membersOf(entries), "hall-0", time.Now())[0]
+	relay := newRelayHealth().relays(membersOf(entries), "hall-0", time.Now())[0]
 	slices.Reverse(entries)
-	assert.Equal(t, relay.box, newSilence().relays(membersOf(entries), "hall-0", time.Now())[0].box, "in whatever order they come")
+	assert.Equal(t, relay.box, newRelayHealth().relays(membersOf(entries), "hall-0", time.Now())[0].box, "the choice does not depend on the order of the entries")
 }
 
-// The relays of a hall may be lost: others take their place.
+// Failed relays of a hall are replaced by other boxes.
 func TestRelaysAreReplaced(t *testing.T) {
 	withFleet(t, 6, 1, func(x *fleet) {
 		var entries []roster.Entry
@@ -199,7 +199,7 @@
 			entries = append(entries, roster.Entry{Box: fmt.Sprintf("box-%02d", i), Hall: "hall-0", Peer: x.boxes[i].conn.LocalAddr().String()})
 		}
 		lost := make(map[string]bool)
-		for _, m := range newSilence().relays(membersOf(entries), "hall-0", time.Now()) {
+		for _, m := range newRelayHealth().relays(membersOf(entries), "hall-0", time.Now()) {
 			lost[m.box] = true
 		}
 		require.Len(t, lost, relaysPerHall)
@@ -219,83 +219,83 @@
 				case <-done:
 					return
 				case <-time.After(50 * time.Millisecond):
-					l, _ := left[0].balancer.Pick(prompt(1, "part"), time.Now())
+					l, _ := left[0].balancer.Pick(promptQuery(1, "part"), time.Now())
 					time.Sleep(50 * time.Millisecond)
 					l.Done(balancer.ResultDone, time.Now())
 				}
 			}
 		}()
-		require.Eventually(t, func() bool { return left[3].others() > 0 }, 2*soon, check)
+		require.Eventually(t, func() bool { return left[3].peerBacklog() > 0 }, 2*eventTimeout, pollInterval)
 	})
 }
 
 func TestRoundsCountOnceWhole(t *testing.T) {
 	all := make(loads)
-	for i := range 2*loadsMost + 1 {
+	for i := range 2*maxLoadsPerDatagram + 1 {
 		all[balancer.ServerKey(i)] = balancer.Load{Backlog: i + 1}
 	}
 	all[0] = balancer.Load{Backlog: 1, DownReports: 3}
 	now := time.Now()
-	said := signals.Observations{
+	observations := signals.Observations{
 		1: {Limit: signals.Limit{Set: true, PerSecond: 2.3}, ReceivedAt: now.Add(-time.Second)}, 2: {ReceivedAt: now.Add(-2 * time.Second)}, 3: {Leaving: true, ReceivedAt: now},
 	}
-	parts := split("hall", 7, work{loads: all, demands: demands{9: {Interactive: 5, Bulk: 6}}, signals: said}, now)
+	parts := splitRound("hall", 7, work{loads: all, demands: demands{9: {Interactive: 5, Bulk: 6}}, signals: observations}, now)
 	require.Len(t, parts, 3)
 	r := make(rounds)
-	_, whole := r.add("box", parts[2], now)
-	assert.False(t, whole)
-	_, whole = r.add("box", parts[0], now)
-	assert.False(t, whole)
-	_, whole = r.add("other", parts[1], now)
-	assert.False(t, whole, "another sender's round")
-	got, whole := r.add("box", parts[1], now)
-	assert.True(t, whole)
-	assert.Equal(t, work{loads: all, demands: demands{9: {Interactive: 5, Bulk: 6}}, signals: said}, got)
+	_, complete := r.add("box", parts[2], now)
+	assert.False(t, complete)
+	_, complete = r.add("box", parts[0], now)
+	assert.False(t, complete)
+	_, complete = r.add("other", parts[1], now)
+	assert.False(t, complete, "another sender's round")
+	got, complete := r.add("box", parts[1], now)
+	assert.True(t, complete)
+	assert.Equal(t, work{loads: all, demands: demands{9: {Interactive: 5, Bulk: 6}}, signals: observations}, got)
 	for _, m := range []*loadpb.Loads{{Part: 3, Parts: 3}, {}, {Parts: 1, Servers: []uint32{1}}, {Parts: 1, Down: []uint32{1}}} {
-		_, whole = r.add("box", m, now)
-		assert.False(t, whole, "%v", m)
+		_, complete = r.add("box", m, now)
+		assert.False(t, complete, "%v", m)
 	}
-	assert.Len(t, split("hall", 8, work{}, now), 1, "that nothing runs is told too")
+	assert.Len(t, splitRound("hall", 8, work{}, now), 1, "an empty round is sent as well")
 }
 
-func TestSumsHoldEachBoxOnce(t *testing.T) {
+func TestSumCountsEachBoxOnce(t *testing.T) {
 	now := time.Now()
 	table := workTable{
-		"a":   {work: work{loads: loads{1: {Backlog: 3, DownReports: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}}, heard: now},
-		"b":   {work: work{loads: loads{1: {Backlog: 4}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 10}}}, heard: now},
-		"old": {work: work{loads: loads{1: {Backlog: 100}}}, heard: now.Add(-believed - time.Second)},
+		"a":   {work: work{loads: loads{1: {Backlog: 3, DownReports: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}}, receivedAt: now},
+		"b":   {work: work{loads: loads{1: {Backlog: 4}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 10}}}, receivedAt: now},
+		"old": {work: work{loads: loads{1: {Backlog: 100}}}, receivedAt: now.Add(-reportTTL - time.Second)},
 	}
 	total := table.sum(now)
 	assert.Equal(t, work{loads: loads{1: {Backlog: 7, DownReports: 1}, 2: {Backlog: 5}}, demands: demands{9: {Interactive: 11, Bulk: 2}}, signals: signals.Observations{}}, total)
 	assert.Equal(t, work{loads: loads{1: {Backlog: 3, DownReports: 1}}, demands: demands{9: {Interactive: 1, Bulk: 2}}, signals: signals.Observations{}}, total.without(table["b"].work))
-	younger := work{loads: loads{1: {Backlog: 8, DownReports: 2}}}
-	assert.Equal(t, loads{2: {Backlog: 5}}, total.without(younger).loads, "the total holds an older word")
-	table.forget(now)
+	newer := work{loads: loads{1: {Backlog: 8, DownReports: 2}}}
+	assert.Equal(t, loads{2: {Backlog: 5}}, total.without(newer).loads, "the total contains an older report")
+	table.evictStale(now)
 	assert.Len(t, table, 2)
 }
 
 func FuzzMessages(f *testing.F) {
-	for _, m := range split("hall", 1, work{loads: loads{1: {Backlog: 5}, 2: {DownReports: 2}}, demands: demands{3: {Interactive: 1}}, signals: signals.Observations{4: {}}}, time.Now()) {
+	for _, m := range splitRound("hall", 1, work{loads: loads{1: {Backlog: 5}, 2: {DownReports: 2}}, demands: demands{3: {Interactive: 1}}, signals: signals.Observations{4: {}}}, time.Now()) {
 		body, _ := proto.Marshal(m)
 		f.Add(body)
 	}
-	body, _ := proto.Marshal(placementsMessage("hall", []balancer.Placement{{Server: 1, Parts: []uint64{2}, Prefilled: true}}))
+	body, _ := proto.Marshal(encodePlacements("hall", []balancer.Placement{{Server: 1, Parts: []uint64{2}, Prefilled: true}}))
 	f.Add(body)
 	for _, recorded := range formstest.Recorded(f, "[lp]*.datagram") {
 		f.Add(recorded)
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		s := &Sharer{
-			Deps:    Deps{Box: "box", Hall: "hall", Balancer: balancer.New(log.NewNopLogger())},
-			silence: newSilence(), boxes: make(workTable), halls: make(workTable), rounds: make(rounds),
+			Deps:        Deps{Box: "box", Hall: "hall", Balancer: balancer.New(log.NewNopLogger())},
+			relayHealth: newRelayHealth(), boxReports: make(workTable), hallSummaries: make(workTable), rounds: make(rounds),
 		}
 		m, p := &loadpb.Loads{}, &loadpb.Placements{}
 		if proto.Unmarshal(data, m) == nil {
-			s.take(message{kind: kindReport, from: "other", loads: m})
-			s.take(message{kind: kindSummary, from: "other", loads: m})
+			s.handle(message{kind: kindReport, from: "other", loads: m})
+			s.handle(message{kind: kindSummary, from: "other", loads: m})
 		}
 		if proto.Unmarshal(data, p) == nil {
-			s.take(message{kind: kindPlaced, from: "other", placements: p})
+			s.handle(message{kind: kindPlacementReport, from: "other", placements: p})
 		}
 	})
 }
@@ -304,8 +304,8 @@
 	formstest.CheckShape(t, "loadshare", &loadpb.Loads{}, &loadpb.Placements{})
 }
 
-// What one box observes of a server is known to all, as is that it has ended.
-func TestAllBoxesKnowTheSignalsOfServers(t *testing.T) {
+// A signal that one box observes, and its end, reach all boxes.
+func TestSignalsReachAllBoxes(t *testing.T) {
 	withFleet(t, 12, 3, func(x *fleet) {
 		server := routing.Incarnation{ID: "i-1", Started: 3}
 		limit := signals.Limit{Set: true, PerSecond: 2.3}
@@ -318,9 +318,9 @@
 		}
 		now := time.Now()
 		x.boxes[4].balancer.Signals().Observe(server, signals.Signals{Limit: limit}, now, now)
-		require.Eventually(t, all(limit), soon, check)
+		require.Eventually(t, all(limit), eventTimeout, pollInterval)
 		now = time.Now()
 		x.boxes[5].balancer.Signals().Observe(server, signals.Signals{}, now, now.Add(time.Millisecond))
-		require.Eventually(t, all(signals.Limit{}), soon, check)
+		require.Eventually(t, all(signals.Limit{}), eventTimeout, pollInterval)
 	})
 }
--- a/pkg/loadshare/summary.go
+++ b/pkg/loadshare/summary.go
@@ -7,79 +7,79 @@
 	"headhill.example/headhill/pkg/balancer"
 )
 
-// audience are boxes to which a relay sends its summaries.
-type audience struct {
-	// changed says that there is something new to send.
-	changed bool
-	// placements wait to be passed on.
+// destination is the send state of a group of boxes to which a relay sends summaries.
+type destination struct {
+	// dirty is set if there is unsent data.
+	dirty bool
+	// placements are queued for the next summary.
 	placements []balancer.Placement
-	// sent is when the last summary went out, pause the least time until the next one.
-	sent  time.Time
-	pause time.Duration
+	// sentAt is when the last summary was sent, interval the minimum time until the next.
+	sentAt   time.Time
+	interval time.Duration
 }
 
-// add keeps placements to be passed on.
-func (a *audience) add(list []balancer.Placement) {
+// addPlacements queues placements for the next summary.
+func (a *destination) addPlacements(list []balancer.Placement) {
 	a.placements = append(a.placements, list...)
-	a.changed = true
+	a.dirty = true
 }
 
-// wait is the time until the next summary may go out.
-func (a *audience) wait(now time.Time) time.Duration { return a.pause - now.Sub(a.sent) }
+// untilDue returns the time until the next summary may be sent.
+func (a *destination) untilDue(now time.Time) time.Duration { return a.interval - now.Sub(a.sentAt) }
 
-// due tells whether a summary has to go out now.
-func (a *audience) due(now time.Time) bool { return a.changed && a.wait(now) <= 0 }
+// due reports whether a summary has to be sent now.
+func (a *destination) due(now time.Time) bool { return a.dirty && a.untilDue(now) <= 0 }
 
-// done notes that a summary has gone out.
-func (a *audience) done(pause time.Duration, now time.Time) {
-	*a = audience{sent: now, pause: pause}
+// markSent resets the state after a summary was sent.
+func (a *destination) markSent(interval time.Duration, now time.Time) {
+	*a = destination{sentAt: now, interval: interval}
 }
 
-// refreshSummaries has a relay send its summaries again though nothing has changed.
+// refreshSummaries schedules summaries to all halls if this box is a relay.
 func (s *Sharer) refreshSummaries() {
-	relay := len(s.boxes) > 0
-	s.hall.changed = s.hall.changed || relay
-	s.otherHalls.changed = s.otherHalls.changed || relay
+	relay := len(s.boxReports) > 0
+	s.hall.dirty = s.hall.dirty || relay
+	s.otherHalls.dirty = s.otherHalls.dirty || relay
 }
 
-// nextSummary returns the time until the next summary is due, and whether there is one.
+// nextSummary returns the time until the next summary. It returns false if none is pending.
 func (s *Sharer) nextSummary(now time.Time) (time.Duration, bool) {
 	switch {
-	case s.hall.changed && s.otherHalls.changed:
-		return min(s.hall.wait(now), s.otherHalls.wait(now)), true
-	case s.hall.changed:
-		return s.hall.wait(now), true
+	case s.hall.dirty && s.otherHalls.dirty:
+		return min(s.hall.untilDue(now), s.otherHalls.untilDue(now)), true
+	case s.hall.dirty:
+		return s.hall.untilDue(now), true
 	}
-	return s.otherHalls.wait(now), s.otherHalls.changed
+	return s.otherHalls.untilDue(now), s.otherHalls.dirty
 }
 
-// summarise sends the boxes of this hall what all do, and the relays of other halls
-// what this hall does.
-func (s *Sharer) summarise(now time.Time) {
+// sendSummaries sends the summaries that are due: the load of all halls to the boxes of this
+// hall, and the load of this hall to the relays of other halls.
+func (s *Sharer) sendSummaries(now time.Time) {
 	members := s.members()
-	all := s.boxes.sum(now)
+	all := s.boxReports.sum(now)
 	if s.otherHalls.due(now) {
-		if len(s.boxes) > 0 {
-			s.publish(all, s.otherHalls.placements, s.otherRelays(members, now))
+		if len(s.boxReports) > 0 {
+			s.publish(all, s.otherHalls.placements, s.otherHallRelays(members, now))
 		}
-		s.otherHalls.done(hallsPause, now)
+		s.otherHalls.markSent(interHallInterval, now)
 	}
 	if !s.hall.due(now) {
 		return
 	}
-	all.add(s.halls.sum(now))
-	s.setOthers(all, now)
-	sent := s.publish(all, s.hall.placements, s.sameHall(members))
-	s.hall.done(pauseAfter(sent), now)
+	all.add(s.hallSummaries.sum(now))
+	s.setPeerLoads(all, now)
+	sent := s.publish(all, s.hall.placements, s.hallPeers(members))
+	s.hall.markSent(summaryInterval(sent), now)
 }
 
 // publish sends a summary and placements. It returns the bytes sent.
 func (s *Sharer) publish(all work, placements []balancer.Placement, to []*net.UDPAddr) int {
-	return s.sendWork(kindSummary, all, to) + s.sendPlacements(kindPassed, placements, to)
+	return s.sendRound(kindSummary, all, to) + s.sendPlacements(kindPlacementRelay, placements, to)
 }
 
-// sameHall are the other boxes of this hall.
-func (s *Sharer) sameHall(members []member) []*net.UDPAddr {
+// hallPeers returns the addresses of the other boxes of this hall.
+func (s *Sharer) hallPeers(members []member) []*net.UDPAddr {
 	var list []*net.UDPAddr
 	for _, m := range members {
 		if m.hall == s.Hall && m.box != s.Box {
@@ -89,8 +89,8 @@
 	return list
 }
 
-// otherRelays are the relays of all other halls.
-func (s *Sharer) otherRelays(members []member, now time.Time) []*net.UDPAddr {
+// otherHallRelays returns the addresses of the relays of all other halls.
+func (s *Sharer) otherHallRelays(members []member, now time.Time) []*net.UDPAddr {
 	var list []*net.UDPAddr
 	seen := map[string]bool{s.Hall: true}
 	for _, m := range members {
@@ -98,7 +98,7 @@
 			continue
 		}
 		seen[m.hall] = true
-		for _, relay := range s.silence.relays(members, m.hall, now) {
+		for _, relay := range s.relayHealth.relays(members, m.hall, now) {
 			list = append(list, relay.address)
 		}
 	}
