--- a/pkg/roster/level.go
+++ b/pkg/roster/level.go
@@ -2,7 +2,7 @@
 
 import "headhill.example/headhill/pkg/forms"
 
-// lowestLevel is the lowest level of forms that any of some boxes reads.
+// lowestLevel returns the lowest forms level among the entries, at most that of this build.
 func lowestLevel(entries []Entry) int {
 	lowest := forms.Level
 	for _, e := range entries {
@@ -11,15 +11,15 @@
 	return lowest
 }
 
-// LowestLevel is the lowest level of forms that any box reads, this one's at the most.
+// LowestLevel returns the lowest forms level among all boxes, at most that of this build.
 func (r *Roster) LowestLevel() int { return lowestLevel(r.Entries()) }
 
-// OlderBuilds names boxes, some at the most, that read less than this one: those whose build is yet to
-// be replaced.
-func (r *Roster) OlderBuilds(most int) []string {
+// OlderBuilds returns the names of up to limit boxes whose build reads a lower forms level than
+// this one.
+func (r *Roster) OlderBuilds(limit int) []string {
 	names := []string{}
 	for _, e := range r.Entries() {
-		if len(names) < most && !forms.Whole(e.Level) {
+		if len(names) < limit && !forms.Whole(e.Level) {
 			names = append(names, e.Box)
 		}
 	}
--- a/pkg/roster/level_test.go
+++ b/pkg/roster/level_test.go
@@ -10,14 +10,14 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// One box of an earlier build is enough for the lowest level to be its own, until it is replaced.
-func TestLowestLevelIsThatOfTheEarliestBuild(t *testing.T) {
+// A single box of an older build determines the lowest forms level.
+func TestLowestLevelIsThatOfOldestBuild(t *testing.T) {
 	r := New(nil, Entry{Box: "a", Level: forms.Level}, stall.Limits{}, log.NewNopLogger())
 	assert.Equal(t, forms.Level, r.LowestLevel())
-	r.install([]Entry{{Box: "a", Level: forms.Level}, {Box: "b"}, {Box: "c", Level: forms.Level + 1}}, 1, false)
+	r.apply([]Entry{{Box: "a", Level: forms.Level}, {Box: "b"}, {Box: "c", Level: forms.Level + 1}}, 1, false)
 	assert.Equal(t, forms.LevelFirst, r.LowestLevel())
 	assert.Equal(t, []string{"b"}, r.OlderBuilds(9))
 	assert.Empty(t, r.OlderBuilds(0))
-	r.install([]Entry{{Box: "a", Level: forms.Level}, {Box: "b", Level: forms.Level}}, 2, false)
+	r.apply([]Entry{{Box: "a", Level: forms.Level}, {Box: "b", Level: forms.Level}}, 2, false)
 	assert.Equal(t, forms.Level, r.LowestLevel())
 }
--- a/pkg/roster/read.go
+++ b/pkg/roster/read.go
@@ -11,55 +11,56 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// Refresh enters this box if it is not entered yet, reads the others, and returns the
-// store's revision.
+// Refresh registers this box if necessary, reads all entries, and returns the revision of the
+// store.
 func (r *Roster) Refresh(ctx context.Context) (uint64, error) {
-	r.enter(ctx)
-	return r.read(ctx, false)
+	r.register(ctx)
+	return r.readAll(ctx, false)
 }
 
-// RefreshPageStale enters this box if it is not entered yet, and reads some of the others as they were some
-// seconds ago at most, which costs little however many there are. Neither waits for the other. It
-// returns whether that made any box known.
+// RefreshPageStale registers this box if necessary and concurrently reads one page of entries,
+// which may be stale by some seconds. Its cost does not depend on the number of boxes. It reports
+// whether the number of known boxes has grown.
 func (r *Roster) RefreshPageStale(ctx context.Context) (bool, error) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { r.enter(ctx) })
+	wg.Go(func() { r.register(ctx) })
 	before := r.Count()
-	_, err := r.readSome(ctx, true)
+	_, err := r.readPage(ctx, true)
 	return r.Count() > before, err
 }
 
-// RefreshPage is RefreshPageStale without what is some seconds old.
+// RefreshPage registers this box if necessary and reads one page of entries that is not stale.
 func (r *Roster) RefreshPage(ctx context.Context) error {
-	r.enter(ctx)
-	_, err := r.readSome(ctx, false)
+	r.register(ctx)
+	_, err := r.readPage(ctx, false)
 	return err
 }
 
-// checkersWhole is how many boxes, the first in order, read all entries with each check: those that
-// check by turns, and those that follow them when they are gone.
-const checkersWhole = 8
+// fullReadRanks is how many boxes, by rank, read all entries with each check: those that take
+// turns to check, and their replacements after a failure.
+const fullReadRanks = 8
 
-// RefreshByRank enters this box if it is not entered yet and returns the store's revision. The first boxes
-// in order read all others; the rest, which check where they hear of no other check, as many as the
-// store gives at once.
+// RefreshByRank registers this box if necessary and returns the revision of the store. The first
+// boxes by rank read all entries. The others, which check the store only if they receive no
+// announcement, read one page.
 func (r *Roster) RefreshByRank(ctx context.Context) (uint64, error) {
-	if r.Rank() < checkersWhole {
+	if r.Rank() < fullReadRanks {
 		return r.Refresh(ctx)
 	}
-	r.enter(ctx)
-	return r.readSome(ctx, false)
+	r.register(ctx)
+	return r.readPage(ctx, false)
 }
 
-// RefreshStale reads all others as they were some seconds ago at most.
+// RefreshStale reads all entries, which may be stale by some seconds. It reports whether the
+// number of known boxes has grown.
 func (r *Roster) RefreshStale(ctx context.Context) (bool, error) {
 	before := r.Count()
-	_, err := r.read(ctx, true)
+	_, err := r.readAll(ctx, true)
 	return r.Count() > before, err
 }
 
-func (r *Roster) readSome(ctx context.Context, stale bool) (uint64, error) {
+func (r *Roster) readPage(ctx context.Context, stale bool) (uint64, error) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
 	entries, more, revision, err := r.store.ListPage(ctx, stale)
@@ -67,23 +68,23 @@
 	case err != nil:
 		return 0, err
 	case more:
-		r.merge(entries)
-		r.setPartial()
+		r.mergeEntries(entries)
+		r.markListTruncated()
 	default:
-		r.set(entries, revision, stale)
+		r.setEntries(entries, revision, stale)
 	}
-	r.onChange()
+	r.onRefresh()
 	return revision, nil
 }
 
-func (r *Roster) setPartial() {
+func (r *Roster) markListTruncated() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partial = true
+	r.listTruncated = true
 }
 
-// merge adds entries to those that are known.
-func (r *Roster) merge(entries []Entry) {
+// mergeEntries adds entries of boxes that are not known yet.
+func (r *Roster) mergeEntries(entries []Entry) {
 	r.mu.Lock()
 	known := make(map[string]bool, len(r.entries))
 	all := slices.Clone(r.entries)
@@ -95,115 +96,117 @@
 			all = append(all, e)
 		}
 	}
-	news := len(all) > len(r.entries)
+	added := len(all) > len(r.entries)
 	r.mu.Unlock()
-	if news {
-		r.install(all, 0, true)
+	if added {
+		r.apply(all, 0, true)
 	}
 }
 
-// ListTruncated tells whether the store gives only some of the boxes at once.
+// ListTruncated reports whether the last page did not contain all entries.
 func (r *Roster) ListTruncated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.partial
+	return r.listTruncated
 }
 
-// Complete tells whether all boxes have been read once.
+// Complete reports whether all entries have been read once.
 func (r *Roster) Complete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.whole
+	return r.complete
 }
 
-// Snapshot is all boxes as they were at a revision of the store; false while only some are known.
+// Snapshot returns all boxes and the revision of the store. It returns false until all entries
+// have been read once.
 func (r *Roster) Snapshot() (Snapshot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Snapshot{Entries: r.entries, Revision: r.revision}, r.whole
+	return Snapshot{Entries: r.entries, Revision: r.revision}, r.complete
 }
 
-// Snapshot is what one box knows of the others, as it is sent to another.
+// Snapshot is the roster of one box as sent to another.
 type Snapshot struct {
 	Entries  []Entry
 	Revision uint64
 }
 
-// ApplySnapshot takes in what another box knows. It returns whether that made any box known.
-func (r *Roster) ApplySnapshot(c Snapshot) bool {
+// ApplySnapshot applies the roster of another box. It reports whether the number of known boxes
+// has grown.
+func (r *Roster) ApplySnapshot(s Snapshot) bool {
 	before := r.Count()
-	r.set(c.Entries, c.Revision, true)
-	r.onChange()
+	r.setEntries(s.Entries, s.Revision, true)
+	r.onRefresh()
 	return r.Count() > before
 }
 
-func (r *Roster) read(ctx context.Context, stale bool) (uint64, error) {
+func (r *Roster) readAll(ctx context.Context, stale bool) (uint64, error) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
 	entries, revision, err := r.store.List(ctx, stale)
 	if err != nil {
 		return 0, err
 	}
-	r.set(entries, revision, stale)
-	r.onChange()
+	r.setEntries(entries, revision, stale)
+	r.onRefresh()
 	return revision, nil
 }
 
-// enter writes this box's entry once. While it can't, the others do not know this
-// box, and it checks the store for itself.
-func (r *Roster) enter(ctx context.Context) {
+// register writes the entry of this box if necessary. Until it succeeds, the other boxes do not
+// know this one, and it checks the store itself.
+func (r *Roster) register(ctx context.Context) {
 	r.mu.Lock()
-	entered := r.entered
+	registered := r.registered
 	r.mu.Unlock()
-	if entered {
+	if registered {
 		return
 	}
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
 	if err := r.store.Register(ctx, r.self); err != nil {
-		_ = level.Info(r.logger).Log("msg", "not entered in the roster", "box", r.self.Box, "err", err, "outcome", "tried again with the next check")
+		_ = level.Info(r.logger).Log("msg", "roster registration failed", "box", r.self.Box, "err", err, "outcome", "retried at the next check")
 		return
 	}
 	r.mu.Lock()
-	r.entered = true
+	r.registered = true
 	r.mu.Unlock()
 }
 
-// set takes a reading of all boxes in. One that is older than what is known is dropped.
-func (r *Roster) set(entries []Entry, revision uint64, stale bool) {
+// setEntries replaces all entries. A read older than the current revision is ignored.
+func (r *Roster) setEntries(entries []Entry, revision uint64, stale bool) {
 	r.mu.Lock()
 	old := revision < r.revision || stale && revision == r.revision
-	r.whole = true
+	r.complete = true
 	r.mu.Unlock()
 	if !old {
-		r.install(entries, revision, stale)
+		r.apply(entries, revision, stale)
 	}
 }
 
-// install works out what follows from entries, and puts it in force.
-func (r *Roster) install(entries []Entry, revision uint64, stale bool) {
-	own := placeOf(entries, r.self) >= 0
-	if !own {
+// apply replaces the entries and everything derived from them.
+func (r *Roster) apply(entries []Entry, revision uint64, stale bool) {
+	listed := indexOf(entries, r.self) >= 0
+	if !listed {
 		entries = append(entries, r.self)
 	}
-	peers, known, hosts := addressesOf(behind(entries, r.self.Box), r.self.Box)
+	peers, known, hosts := peerAddresses(rotateAfter(entries, r.self.Box), r.self.Box)
 	ordered := SortByRank(entries)
-	providers, rank := providersIn(ordered, r.self), placeOf(ordered, r.self)
+	providers, rank := providersFromSorted(ordered, r.self), indexOf(ordered, r.self)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision > 0 && revision < r.revision {
 		return
 	}
-	// Others take a box out that they do not hear any more. One that is alive after
-	// all enters itself again. A stale reading may be older than the entry.
-	r.entered = r.entered && (own || stale)
+	// Other boxes remove the entry of a box that does not respond. If this box is missing, it
+	// registers again. A stale list may predate its entry.
+	r.registered = r.registered && (listed || stale)
 	if before, now := lowestLevel(r.entries), lowestLevel(entries); before != now {
-		_ = level.Info(r.logger).Log("msg", "lowest level of forms", "level", now, "before", before, "own", forms.Level, "boxes", len(entries))
+		_ = level.Info(r.logger).Log("msg", "lowest forms level changed", "level", now, "before", before, "own", forms.Level, "boxes", len(entries))
 	}
 	if len(entries) != len(r.entries) {
 		_ = level.Info(r.logger).Log("msg", "roster size changed", "count", len(entries), "before", len(r.entries), "revision", revision, "stale", stale)
 	}
-	r.entries, r.revision, r.fresh = entries, max(revision, r.revision), r.fresh || !stale
-	r.peers, r.known, r.hosts, r.ordered = peers, known, hosts, ordered
+	r.entries, r.revision, r.hasFreshRead = entries, max(revision, r.revision), r.hasFreshRead || !stale
+	r.peers, r.peerAddrs, r.peerHosts, r.byRank = peers, known, hosts, ordered
 	r.providers, r.rank = providers, rank
 }
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster tells which boxes there are. Each box writes one entry into the
-// store when it starts, and takes it out at a planned stop. Reading the entries also
-// tells the store's revision. Boxes that see the same entries agree on who reads the
-// store for all, and on who passes what it holds on to whom.
+// Package roster maintains the list of all boxes. Each box registers an entry in the store when
+// it starts and removes it at shutdown. Reading the entries also returns the revision of the
+// store. Boxes that see the same entries derive the same readers of the store and the same tree
+// for distributing its contents.
 package roster
 
 import (
@@ -21,21 +21,21 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// Entry is one box.
+// Entry describes one box.
 type Entry struct {
 	Box  string
 	Hall string
-	// Peer is the address at which the box hears from others.
+	// Peer is the address at which the box receives datagrams from others.
 	Peer string
-	// LinkMbps is the speed of the box's link, in Mbit/s; zero if it is not known.
+	// LinkMbps is the speed of the network link in Mbit/s, or zero if unknown.
 	LinkMbps float64
-	// Incarnation is drawn anew at each start.
+	// Incarnation is a random number that identifies one start of the box.
 	Incarnation uint64
-	// Level is that of the forms that the box reads; zero where its entry names none.
+	// Level is the forms level that the box reads, or zero if its entry has none.
 	Level int
 }
 
-// Address is where the box hears from others, nil if it can't be read.
+// Address returns the resolved peer address, or nil if it is invalid.
 func (e Entry) Address() *net.UDPAddr {
 	a, err := net.ResolveUDPAddr("udp", e.Peer)
 	if err != nil {
@@ -44,89 +44,88 @@
 	return a
 }
 
-// Store keeps the entries.
+// Store stores the entries.
 type Store interface {
-	// Register writes an entry over any older one of the same box.
+	// Register writes an entry, replacing any older one of the same box.
 	Register(ctx context.Context, e Entry) error
-	// Deregister removes an entry if it is still this incarnation's.
+	// Deregister removes an entry if it still belongs to the same incarnation.
 	Deregister(ctx context.Context, e Entry) error
-	// List lists the entries and the store's revision at that moment. A stale list may be
-	// seconds old, but it is cheap and bound by no rate.
+	// List returns all entries and the revision of the store. A stale list may be seconds old,
+	// but is cheap and not rate limited.
 	List(ctx context.Context, stale bool) (entries []Entry, revision uint64, err error)
-	// ListPage lists as many as the store gives at once, and whether there are more.
+	// ListPage returns the first page of entries, and whether there are more.
 	ListPage(ctx context.Context, stale bool) (entries []Entry, more bool, revision uint64, err error)
 }
 
-// Roster is what this box knows of the others.
+// Roster is the view that this box has of all boxes.
 type Roster struct {
-	store    Store
-	self     Entry
-	limits   stall.Limits
-	logger   log.Logger
-	onChange func()
+	store     Store
+	self      Entry
+	limits    stall.Limits
+	logger    log.Logger
+	onRefresh func()
 
 	mu      sync.Mutex
 	entries []Entry
-	// revision is that of the store at which the entries were read, fresh tells whether any
-	// reading was not stale.
+	// revision is the revision of the store at which the entries were read.
 	revision uint64
-	fresh    bool
-	// whole tells that all entries have been read once, and not only some.
-	whole bool
-	// partial tells that the store gave only some of them when it was last looked at.
-	partial bool
-	peers   []*net.UDPAddr
-	// ordered are the entries in the order in which boxes read and relay for others.
-	ordered []Entry
-	// providers are the boxes that this one asks for what it lacks, rank is its place in
-	// the order in which boxes read for others.
+	// hasFreshRead is set after the first read that was not stale.
+	hasFreshRead bool
+	// complete is set once all entries have been read.
+	complete bool
+	// listTruncated is set if the last page did not contain all entries.
+	listTruncated bool
+	peers         []*net.UDPAddr
+	// byRank holds the entries sorted by rank.
+	byRank []Entry
+	// providers are the boxes from which this one fetches missing data, rank is its own rank.
 	providers []Entry
 	rank      int
-	known     map[netip.AddrPort]bool
-	hosts     map[netip.Addr]bool
-	entered   bool
+	peerAddrs map[netip.AddrPort]bool
+	peerHosts map[netip.Addr]bool
+	// registered is set while the store has the entry of this box.
+	registered bool
 }
 
-// New returns a roster of one box, this one. The limits bound each call to the store.
+// New returns a Roster that contains only this box. The limits apply to each call to the store.
 func New(store Store, self Entry, limits stall.Limits, logger log.Logger) *Roster {
 	self.Incarnation = rand.Uint64() >> 1
-	return &Roster{store: store, self: self, limits: limits, logger: logger, onChange: func() {}, entries: []Entry{self}, ordered: []Entry{self}, rank: rankUnknown}
+	return &Roster{store: store, self: self, limits: limits, logger: logger, onRefresh: func() {}, entries: []Entry{self}, byRank: []Entry{self}, rank: unknownRank}
 }
 
-// OnRefresh sets who is told that the boxes have been read. It is set before the first reading.
-func (r *Roster) OnRefresh(f func()) { r.onChange = f }
+// OnRefresh sets a function that is called after each read. It must be set before the first read.
+func (r *Roster) OnRefresh(f func()) { r.onRefresh = f }
 
-// Count is the number of boxes, this one included.
+// Count returns the number of boxes, including this one.
 func (r *Roster) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries)
 }
 
-// Peers are the addresses of the other boxes, in an order that begins behind this
-// box's own name, so that the first few are not the same for all.
+// Peers returns the addresses of the other boxes, sorted by name and rotated to start after this
+// box, so that boxes do not all contact the same peers first.
 func (r *Roster) Peers() []*net.UDPAddr {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.peers
 }
 
-// Entries lists the boxes, this one included. Callers must not change the list.
+// Entries returns all boxes, including this one. Callers must not modify the slice.
 func (r *Roster) Entries() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entries
 }
 
-// ListByRank lists the boxes in the order in which they read and relay for others. Callers must
-// not change the list.
+// ListByRank returns all boxes sorted by rank. Callers must not modify the slice.
 func (r *Roster) ListByRank() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ordered
+	return r.byRank
 }
 
-// Names are those of the boxes, this one included.
+// Names returns the names of all boxes, including this one.
 func (r *Roster) Names() []string {
 	entries := r.Entries()
 	names := make([]string, 0, len(entries))
@@ -136,59 +135,60 @@
 	return names
 }
 
-// Incarnation is that of this box's process.
+// Incarnation returns the incarnation of this box.
 func (r *Roster) Incarnation() uint64 { return r.self.Incarnation }
 
-// IsPeer tells whether an address is that of another box.
+// IsPeer reports whether an address belongs to another box.
 func (r *Roster) IsPeer(a netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known[a]
+	return r.peerAddrs[a]
 }
 
-// IsPeerHost tells whether another box has an IP.
+// IsPeerHost reports whether an IP address belongs to another box.
 func (r *Roster) IsPeerHost(ip netip.Addr) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hosts[ip.Unmap()]
+	return r.peerHosts[ip.Unmap()]
 }
 
-// IsReader tells whether this box is one of the few that watch the store for all. A box that has
-// only seen the others as they were some time ago is none yet: more may have entered. Of 985 that
-// started at once dozens took themselves for the first ones.
+// IsReader reports whether this box is one of the few that watch the store on behalf of all. It
+// returns false before the first read that is not stale: a stale list may lack boxes of lower
+// rank when many boxes start at once.
 func (r *Roster) IsReader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fresh && r.rank < readers
+	return r.hasFreshRead && r.rank < readerCount
 }
 
-// IsReaderCandidate tells whether this box would be a reader, or is alone, by what it has seen.
+// IsReaderCandidate reports whether this box is alone or a reader according to the entries read so
+// far, which may be stale.
 func (r *Roster) IsReaderCandidate() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.entries) == 1 || r.rank < readers
+	return len(r.entries) == 1 || r.rank < readerCount
 }
 
-// rankUnknown is the rank of a box that has not read the roster yet.
-const rankUnknown = math.MaxInt
+// unknownRank is the rank before the first read.
+const unknownRank = math.MaxInt
 
-// Rank is this box's place in the order in which boxes read for others; zero for the first.
+// Rank returns the index of this box in the order of SortByRank.
 func (r *Roster) Rank() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rank
 }
 
-// Providers are the boxes that this one asks for what it lacks, in order; none for a
-// reader. Callers must not change the list.
+// Providers returns the boxes from which this one fetches missing data, in order. It returns none
+// for a reader. Callers must not modify the slice.
 func (r *Roster) Providers() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.providers
 }
 
-// addressesOf returns where the boxes other than this one are, in order and as sets.
-func addressesOf(entries []Entry, self string) (peers []*net.UDPAddr, known map[netip.AddrPort]bool, hosts map[netip.Addr]bool) {
+// peerAddresses returns the addresses of all boxes but self, in order and as sets.
+func peerAddresses(entries []Entry, self string) (peers []*net.UDPAddr, known map[netip.AddrPort]bool, hosts map[netip.Addr]bool) {
 	peers = make([]*net.UDPAddr, 0, len(entries))
 	known = make(map[netip.AddrPort]bool, len(entries))
 	hosts = make(map[netip.Addr]bool, len(entries))
@@ -205,17 +205,17 @@
 	return peers, known, hosts
 }
 
-// behind orders entries by name, those behind a name first.
-func behind(entries []Entry, name string) []Entry {
+// rotateAfter sorts entries by name and rotates them to start after the given name.
+func rotateAfter(entries []Entry, name string) []Entry {
 	list := slices.Clone(entries)
 	slices.SortFunc(list, func(a, b Entry) int {
-		return cmp.Or(compareBool(a.Box > name, b.Box > name), cmp.Compare(a.Box, b.Box))
+		return cmp.Or(trueFirst(a.Box > name, b.Box > name), cmp.Compare(a.Box, b.Box))
 	})
 	return list
 }
 
-// compareBool puts true first.
-func compareBool(a, b bool) int {
+// trueFirst orders true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -229,7 +229,7 @@
 func (r *Roster) Deregister(ctx context.Context) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
-	// An entry that stays is written over at the next start.
+	// If this fails, the entry is replaced at the next start.
 	err := r.store.Deregister(ctx, r.self)
-	_ = level.Info(r.logger).Log("msg", "left the roster", "box", r.self.Box, "err", err)
+	_ = level.Info(r.logger).Log("msg", "deregistered from roster", "box", r.self.Box, "err", err)
 }
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -17,13 +17,13 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// fakeStore keeps entries in memory and fails when told to.
+// fakeStore keeps entries in memory. Calls fail with the given error, if any.
 type fakeStore struct {
-	mu      sync.Mutex
-	entries map[string]Entry
-	err     error
-	entered int
-	// revision is what readings tell; zero stands for seven.
+	mu            sync.Mutex
+	entries       map[string]Entry
+	err           error
+	registrations int
+	// revision is returned by reads. Zero means 7.
 	revision uint64
 }
 
@@ -33,7 +33,7 @@
 	if s.err != nil {
 		return s.err
 	}
-	s.entered++
+	s.registrations++
 	s.entries[e.Box] = e
 	return nil
 }
@@ -66,7 +66,7 @@
 	return New(store, Entry{Box: fmt.Sprintf("box-%02d", i), Peer: fmt.Sprintf("127.0.0.1:%d", 6000+i)}, stall.Limits{FirstByte: time.Second, Idle: time.Second, Total: time.Second}, log.NewNopLogger())
 }
 
-func TestBoxesFindEachOther(t *testing.T) {
+func TestBoxesDiscoverEachOther(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	boxes := make([]*Roster, 10)
 	for i := range boxes {
@@ -86,30 +86,30 @@
 			watching++
 		}
 	}
-	assert.Equal(t, readers, watching, "all agree on who watches")
-	assert.Len(t, first, 10, "each tells another one first")
-	assert.Equal(t, 10, store.entered, "one write a start")
+	assert.Equal(t, readerCount, watching, "all boxes agree on the readers")
+	assert.Len(t, first, 10, "each box has a different first peer")
+	assert.Equal(t, 10, store.registrations, "one write per start")
 }
 
-func TestStoreThatFails(t *testing.T) {
-	store := &fakeStore{entries: make(map[string]Entry), err: errors.New("away")}
+func TestStoreFailure(t *testing.T) {
+	store := &fakeStore{entries: make(map[string]Entry), err: errors.New("store unavailable")}
 	b := box(store, 1)
 	_, err := b.Refresh(context.Background())
 	assert.Error(t, err)
 	assert.Equal(t, 1, b.Count())
-	assert.False(t, b.IsReader(), "it does not know yet that it is alone")
+	assert.False(t, b.IsReader(), "without a successful read it cannot know that it is alone")
 	store.err = nil
 	_, err = b.RefreshPageStale(context.Background())
 	require.NoError(t, err)
-	assert.False(t, b.IsReader(), "a stale reading does not tell either")
+	assert.False(t, b.IsReader(), "a stale read is not sufficient")
 	store.revision = 8
 	revision, err := b.Refresh(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, uint64(8), revision)
-	assert.True(t, b.IsReader(), "alone it watches for itself")
+	assert.True(t, b.IsReader(), "a single box is a reader")
 }
 
-// Hundreds of boxes that start at once must not all take themselves for the first one.
+// Boxes that start at once must not all assume the first rank.
 func TestRankIsUnknownBeforeTheRosterIsRead(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	var boxes []*Roster
@@ -130,8 +130,8 @@
 	assert.Equal(t, map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}, ranks)
 }
 
-// A stale reading costs little, and may be older than what is known.
-func TestStaleReadingsUndoNothing(t *testing.T) {
+// A stale read that is older than the known entries must not replace them.
+func TestStaleReadsDoNotRevertEntries(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry), revision: 7}
 	a, b := box(store, 1), box(store, 2)
 	_, err := a.Refresh(t.Context())
@@ -142,40 +142,40 @@
 	assert.Equal(t, 2, b.Count())
 	grown, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
-	assert.False(t, grown, "it was known")
+	assert.False(t, grown, "the entries were known already")
 	store.revision = 3
 	delete(store.entries, "box-01")
 	delete(store.entries, "box-02")
 	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, 2, b.Count(), "older than what is known")
+	assert.Equal(t, 2, b.Count(), "the read is older than the known entries")
 	store.revision = 9
-	entered := store.entered
+	registrations := store.registrations
 	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, 1, b.Count())
 	_, err = b.RefreshPageStale(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, entered, store.entered, "only a fresh reading tells that it was taken out")
+	assert.Equal(t, registrations, store.registrations, "only a fresh read shows that the entry was removed")
 	_, err = b.Refresh(t.Context())
 	require.NoError(t, err)
 	_, err = b.Refresh(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, entered+1, store.entered)
+	assert.Equal(t, registrations+1, store.registrations)
 }
 
-func TestLaterLifeKeepsItsEntry(t *testing.T) {
+func TestNewerIncarnationKeepsItsEntry(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
-	old, young := box(store, 1), box(store, 1)
+	old, newer := box(store, 1), box(store, 1)
 	_, _ = old.Refresh(context.Background())
-	_, _ = young.Refresh(context.Background())
+	_, _ = newer.Refresh(context.Background())
 	old.Deregister(context.Background())
 	assert.Len(t, store.entries, 1)
-	young.Deregister(context.Background())
+	newer.Deregister(context.Background())
 	assert.Empty(t, store.entries)
 }
 
-// What readers read is news for all others: over a slow link it would be late twice.
+// Boxes with the fastest links are chosen as readers, since their data is sent to all others.
 func TestBoxesWithTheFastestLinksRead(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	var boxes []*Roster
@@ -200,14 +200,14 @@
 			assert.Equal(t, 200.0, b.self.LinkMbps)
 		}
 	}
-	assert.Equal(t, readers, reading)
+	assert.Equal(t, readerCount, reading)
 }
 
-// pagedStore gives so many entries at once.
+// pagedStore returns pages of a limited size.
 type pagedStore struct {
 	*fakeStore
-	page  int
-	whole int
+	page      int
+	fullReads int
 }
 
 func (s *pagedStore) ListPage(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
@@ -217,11 +217,11 @@
 }
 
 func (s *pagedStore) List(ctx context.Context, stale bool) ([]Entry, uint64, error) {
-	s.whole++
+	s.fullReads++
 	return s.fakeStore.List(ctx, stale)
 }
 
-// Of many boxes that start at once few read all entries, however many there are.
+// Of many boxes that start at once, only a bounded number reads all entries.
 func TestFewReadAllEntries(t *testing.T) {
 	for _, n := range []int{100, 200} {
 		store := &pagedStore{fakeStore: &fakeStore{entries: make(map[string]Entry)}, page: 20}
@@ -230,28 +230,28 @@
 			boxes[i] = box(store, i)
 			store.entries[boxes[i].self.Box] = boxes[i].self
 		}
-		may := 0
+		candidates := 0
 		for _, b := range boxes {
 			_, err := b.RefreshPageStale(t.Context())
 			require.NoError(t, err)
 			assert.False(t, b.Complete())
-			assert.False(t, b.IsReader(), "not by what some entries tell")
+			assert.False(t, b.IsReader(), "a partial list is not sufficient")
 			if b.IsReaderCandidate() {
-				may++
+				candidates++
 			}
 		}
-		assert.Zero(t, store.whole)
+		assert.Zero(t, store.fullReads)
 		checks := 0
 		for _, b := range boxes {
-			if b.Rank() >= checkersWhole {
+			if b.Rank() >= fullReadRanks {
 				_, err := b.RefreshByRank(t.Context())
 				require.NoError(t, err)
 				checks++
 			}
 		}
 		assert.Greater(t, checks, n/2)
-		assert.Zero(t, store.whole, "also where they check the store")
-		assert.LessOrEqual(t, may, 2*n*readers/store.page, "those that would be readers among the entries seen")
+		assert.Zero(t, store.fullReads, "checks do not read all entries")
+		assert.LessOrEqual(t, candidates, 2*n*readerCount/store.page, "number of reader candidates")
 		all, _, err := store.fakeStore.List(t.Context(), false)
 		require.NoError(t, err)
 		assert.True(t, boxes[n-1].ApplySnapshot(Snapshot{Entries: all, Revision: 7}))
--- a/pkg/roster/sweep.go
+++ b/pkg/roster/sweep.go
@@ -19,25 +19,23 @@
 )
 
 const (
-	// silentAfter is how long a box may say nothing before it is asked whether it is
-	// there.
-	silentAfter = 30 * time.Second
-	// goneAfter and pingsLeast are how long and how often a box must have been asked
-	// in vain to be taken out.
-	goneAfter  = time.Minute
-	pingsLeast = 5
-	// pingsAtOnce bounds the boxes that are asked with one sweep, pingShare is the part of
-	// all boxes that may be asked where that is more: sweeps come each second or two, and
-	// within silentAfter most boxes must have been heard.
-	pingsAtOnce = 4
-	pingShare   = 0.1
+	// pingAfter is how long a box may send nothing before it is pinged.
+	pingAfter = 30 * time.Second
+	// removeAfter and minPings are how long and how often a box must have been pinged without
+	// a response before it is removed.
+	removeAfter = time.Minute
+	minPings    = 5
+	// A sweep pings up to pingsPerSweep boxes, or the fraction pingShare of all boxes if
+	// that is more. With a sweep every second or two, most boxes respond within pingAfter.
+	pingsPerSweep = 4
+	pingShare     = 0.1
 )
 
-// pingsMost is how many of some boxes are asked with one sweep.
-func pingsMost(boxes int) int { return max(pingsAtOnce, int(pingShare*float64(boxes))) }
+// maxPingsPerSweep returns how many boxes of a fleet are pinged in one sweep.
+func maxPingsPerSweep(boxes int) int { return max(pingsPerSweep, int(pingShare*float64(boxes))) }
 
-// Sweeper takes boxes out of the roster that are gone for good without having said so.
-// Only what it hears counts, by the steady clock: the time of day of boxes differs.
+// Sweeper removes boxes from the roster that crashed without deregistering. It relies on
+// received datagrams and the monotonic clock only, since wall clocks differ between boxes.
 type Sweeper struct {
 	roster *Roster
 	port   *datagram.Port
@@ -45,105 +43,106 @@
 	now    func() time.Time
 
 	mu sync.Mutex
-	// heard is when each box was last heard, silent which are asked in vain.
-	heard  map[string]time.Time
-	silent map[string]silentBox
+	// lastReceived is when each box last sent a datagram, unanswered the boxes that have not
+	// responded to a ping.
+	lastReceived map[string]time.Time
+	unanswered   map[string]unansweredBox
 }
 
-// silentBox is one that is asked in vain.
-type silentBox struct {
+// unansweredBox is a box that was pinged without a response.
+type unansweredBox struct {
 	since time.Time
 	pings int
 }
 
-// NewSweeper returns a sweeper that hears the port's messages from now on.
+// NewSweeper returns a Sweeper and registers its handlers on the port.
 func NewSweeper(r *Roster, port *datagram.Port, logger log.Logger) *Sweeper {
-	s := &Sweeper{roster: r, port: port, logger: logger, now: time.Now, heard: make(map[string]time.Time), silent: make(map[string]silentBox)}
-	port.OnReceive(s.hear)
+	s := &Sweeper{roster: r, port: port, logger: logger, now: time.Now, lastReceived: make(map[string]time.Time), unanswered: make(map[string]unansweredBox)}
+	port.OnReceive(s.recordReceived)
 	port.Handle(kindPing, func(m datagram.Message) { port.Send(kindPong, nil, m.From) })
 	port.Handle(kindPong, func(datagram.Message) {})
 	return s
 }
 
-func (s *Sweeper) hear(box string) {
+func (s *Sweeper) recordReceived(box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[box] = s.now()
-	delete(s.silent, box)
+	s.lastReceived[box] = s.now()
+	delete(s.unanswered, box)
 }
 
-// Sweep asks some boxes that have fallen silent whether they are there, and takes out
-// those that have not answered for long. It is called after each reading of the roster.
+// Sweep pings some of the boxes that have been silent, and removes those that have not responded
+// for long. It is called after each refresh of the roster.
 func (s *Sweeper) Sweep(ctx context.Context) {
-	ask, gone := s.look(s.roster.Entries(), s.now())
-	for _, e := range ask {
+	toPing, toRemove := s.classify(s.roster.Entries(), s.now())
+	for _, e := range toPing {
 		if address := e.Address(); address != nil {
 			s.port.Send(kindPing, nil, address)
 		}
 	}
-	for _, e := range gone {
+	for _, e := range toRemove {
 		s.roster.remove(ctx, e)
 	}
 }
 
-// look tells which boxes are to be asked, and which are gone.
-func (s *Sweeper) look(entries []Entry, now time.Time) (ask, gone []Entry) {
+// classify returns the boxes to ping and those to remove.
+func (s *Sweeper) classify(entries []Entry, now time.Time) (toPing, toRemove []Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(entries)
-	answering := 0
+	s.evictUnlisted(entries)
+	responding := 0
 	for _, e := range entries {
 		if e.Box == s.roster.self.Box {
 			continue
 		}
-		heard, known := s.heard[e.Box]
+		received, known := s.lastReceived[e.Box]
 		if !known {
-			s.heard[e.Box] = now
+			s.lastReceived[e.Box] = now
 			continue
 		}
-		if now.Sub(heard) <= silentAfter {
-			answering++
+		if now.Sub(received) <= pingAfter {
+			responding++
 			continue
 		}
-		b, asked := s.silent[e.Box]
-		if !asked {
+		b, pinged := s.unanswered[e.Box]
+		if !pinged {
 			b.since = now
 		}
-		if asked && b.pings >= pingsLeast && now.Sub(b.since) >= goneAfter {
-			gone = append(gone, e)
+		if pinged && b.pings >= minPings && now.Sub(b.since) >= removeAfter {
+			toRemove = append(toRemove, e)
 			continue
 		}
-		if len(ask) < pingsMost(len(entries)) {
+		if len(toPing) < maxPingsPerSweep(len(entries)) {
 			b.pings++
-			s.silent[e.Box] = b
-			ask = append(ask, e)
+			s.unanswered[e.Box] = b
+			toPing = append(toPing, e)
 		}
 	}
-	// A box that hears few others may be cut off itself.
-	if 2*answering < len(entries)-1-len(gone) || answering == 0 {
-		gone = nil
+	// A box that receives datagrams from few others may be partitioned itself.
+	if 2*responding < len(entries)-1-len(toRemove) || responding == 0 {
+		toRemove = nil
 	}
-	return ask, gone
+	return toPing, toRemove
 }
 
-// forget drops what is known of boxes that the roster has not any more.
-func (s *Sweeper) forget(entries []Entry) {
+// evictUnlisted deletes the state of boxes that are no longer in the roster.
+func (s *Sweeper) evictUnlisted(entries []Entry) {
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		listed[e.Box] = true
 	}
-	for box := range s.heard {
+	for box := range s.lastReceived {
 		if !listed[box] {
-			delete(s.heard, box)
-			delete(s.silent, box)
+			delete(s.lastReceived, box)
+			delete(s.unanswered, box)
 		}
 	}
 }
 
-// remove takes the entry of a box that is gone out of the store.
+// remove deletes the entry of a failed box from the store.
 func (r *Roster) remove(ctx context.Context, e Entry) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
 	err := r.store.Deregister(ctx, e)
-	_ = level.Info(r.logger).Log("msg", "box taken out of the roster", "box", e.Box, "reason", "it has not answered for long", "err", err)
+	_ = level.Info(r.logger).Log("msg", "unresponsive box removed from roster", "box", e.Box, "reason", "no response to pings", "err", err)
 }
--- a/pkg/roster/sweep_test.go
+++ b/pkg/roster/sweep_test.go
@@ -17,7 +17,7 @@
 	"headhill.example/headhill/pkg/stall"
 )
 
-// withSweepers runs f with boxes whose sweepers hear each other.
+// withSweepers runs f with the sweepers of connected boxes. All but the first are listening.
 func withSweepers(t *testing.T, n int, f func(*fakeStore, []*Sweeper)) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	var sweepers []*Sweeper
@@ -42,7 +42,7 @@
 	f(store, sweepers)
 }
 
-// clock is a steady clock that a test moves.
+// clock is a clock that a test advances.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -54,23 +54,23 @@
 	return c.now
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// sweepFor sweeps one box's roster for a time in steps, each of which ends when the
-// boxes that are there have answered.
+// sweepFor sweeps the roster of one box repeatedly for a duration. After each sweep it waits until
+// all alive boxes have responded.
 func sweepFor(t *testing.T, s *Sweeper, c *clock, d time.Duration, alive ...*Sweeper) {
-	for end := c.time().Add(d); c.time().Before(end); c.move(5 * time.Second) {
+	for end := c.time().Add(d); c.time().Before(end); c.advance(5 * time.Second) {
 		_, _ = s.roster.Refresh(context.Background())
 		s.Sweep(context.Background())
 		for _, other := range alive {
 			require.Eventually(t, func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return c.time().Sub(s.heard[other.roster.self.Box]) <= silentAfter
+				return c.time().Sub(s.lastReceived[other.roster.self.Box]) <= pingAfter
 			}, 10*time.Second, time.Millisecond)
 		}
 	}
@@ -81,18 +81,18 @@
 		s, c := sweepers[0], &clock{now: time.Now()}
 		s.now = c.time
 		go s.port.Listen()
-		sweepFor(t, s, c, 3*goneAfter, sweepers[1:]...)
-		require.Len(t, store.entries, 5, "boxes that answer stay")
+		sweepFor(t, s, c, 3*removeAfter, sweepers[1:]...)
+		require.Len(t, store.entries, 5, "responding boxes stay")
 		sweepers[4].port.Conn.Close()
-		sweepFor(t, s, c, silentAfter+goneAfter/2, sweepers[1:4]...)
-		require.Len(t, store.entries, 5, "not before it was asked for long")
-		sweepFor(t, s, c, 2*goneAfter, sweepers[1:4]...)
+		sweepFor(t, s, c, pingAfter+removeAfter/2, sweepers[1:4]...)
+		require.Len(t, store.entries, 5, "not removed before removeAfter")
+		sweepFor(t, s, c, 2*removeAfter, sweepers[1:4]...)
 		assert.NotContains(t, store.entries, "box-04")
 		assert.Len(t, store.entries, 4)
 	})
 }
 
-// A box that hears nobody is cut off itself: it takes nobody out.
+// A box that receives no responses may be partitioned itself and must not remove others.
 func TestBoxThatIsCutOffTakesNobodyOut(t *testing.T) {
 	withSweepers(t, 5, func(store *fakeStore, sweepers []*Sweeper) {
 		s, c := sweepers[0], &clock{now: time.Now()}
@@ -101,7 +101,7 @@
 		for _, other := range sweepers[1:] {
 			other.port.Conn.Close()
 		}
-		sweepFor(t, s, c, 5*goneAfter)
+		sweepFor(t, s, c, 5*removeAfter)
 		assert.Len(t, store.entries, 5)
 	})
 }
@@ -117,40 +117,40 @@
 	})
 }
 
-func TestStrangeEntriesAreLeftAlone(t *testing.T) {
+func TestUnseenEntriesAreNotPinged(t *testing.T) {
 	withSweepers(t, 3, func(_ *fakeStore, sweepers []*Sweeper) {
 		s, now := sweepers[0], time.Now()
-		ask, gone := s.look([]Entry{{Box: "new", Peer: "nonsense"}}, now)
-		assert.Empty(t, ask, "it has just been seen for the first time")
-		assert.Empty(t, gone)
+		toPing, toRemove := s.classify([]Entry{{Box: "new", Peer: "invalid"}}, now)
+		assert.Empty(t, toPing, "the entry is new")
+		assert.Empty(t, toRemove)
 	})
 }
 
-// In a fleet of hundreds one box checks for all, and few others send it anything by
-// themselves. It asks often enough to hear most of them, and finds those that are gone.
+// In a large fleet, few boxes send datagrams to the sweeping box on their own. Its pings must
+// still reach most of them, so that failed boxes are detected.
 func TestBoxThatIsGoneIsFoundAmongHundreds(t *testing.T) {
 	for _, count := range []int{20, 300, 1700} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			entries := fleetOf(count, 5, 20)
 			r := New(&fakeStore{}, entries[0], stall.Limits{}, log.NewNopLogger())
-			s := &Sweeper{roster: r, heard: make(map[string]time.Time), silent: make(map[string]silentBox)}
+			s := &Sweeper{roster: r, lastReceived: make(map[string]time.Time), unanswered: make(map[string]unansweredBox)}
 			now := time.Now()
 			s.now = func() time.Time { return now }
 			const checks = 2 * time.Second
 			for end := now.Add(5 * time.Minute); now.Before(end); now = now.Add(checks) {
-				ask, gone := s.look(entries, now)
-				if len(gone) > 0 {
-					assert.Equal(t, "box-0007", gone[0].Box)
-					assert.Len(t, gone, 1)
+				toPing, toRemove := s.classify(entries, now)
+				if len(toRemove) > 0 {
+					assert.Equal(t, "box-0007", toRemove[0].Box)
+					assert.Len(t, toRemove, 1)
 					return
 				}
-				for _, e := range ask {
+				for _, e := range toPing {
 					if e.Box != "box-0007" {
-						s.hear(e.Box)
+						s.recordReceived(e.Box)
 					}
 				}
 			}
-			t.Error("the box that is gone was not found")
+			t.Error("the failed box was not detected")
 		})
 	}
 }
--- a/pkg/roster/tree.go
+++ b/pkg/roster/tree.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// readers is how many boxes watch the store for the others.
-	readers = 2
-	// mbpsPerChild is how much of its link, in Mbit/s, a box has for each box that it passes
-	// something on to, where it passes it on to all at once.
+	// readerCount is how many boxes watch the store on behalf of the others.
+	readerCount = 2
+	// mbpsPerChild is the link bandwidth, in Mbit/s, that a box reserves for each child in
+	// the tree of its hall.
 	mbpsPerChild = 10
-	// childrenLeast and childrenMost bound the boxes that one box passes something on to:
-	// two make a tree whose depth grows with the logarithm of a hall also over slow links.
-	childrenLeast = 2
-	childrenMost  = 32
+	// minChildren and maxChildren bound the children of a box. With at least two, the depth
+	// of the tree is logarithmic in the size of the hall even on slow links.
+	minChildren = 2
+	maxChildren = 32
 )
 
-// SortByRank returns the entries in the order in which boxes read and relay for others: those
-// with the fastest links first, as these send much more than the others. Boxes that see the
-// same entries agree on it.
+// SortByRank returns the entries in the order in which boxes read the store and relay data for
+// others. Boxes with faster links come first, since the first ones send the most. The order is
+// deterministic for a given set of entries.
 func SortByRank(entries []Entry) []Entry {
 	list := slices.Clone(entries)
 	slices.SortFunc(list, func(a, b Entry) int {
@@ -30,38 +30,39 @@
 	return list
 }
 
-// ProvidersOf are the boxes that one asks for what it lacks, in order: its parent in the
-// tree of its hall, the root of that tree, and the readers. A reader asks the store.
+// ProvidersOf returns the boxes from which a box fetches missing data, in order: its parent in
+// the tree of its hall, the root of that tree, and the readers. It returns none for a reader,
+// which reads the store.
 func ProvidersOf(entries []Entry, self Entry) []Entry {
-	return providersIn(SortByRank(entries), self)
+	return providersFromSorted(SortByRank(entries), self)
 }
 
-// providersIn is ProvidersOf for entries that are in order.
-func providersIn(ordered []Entry, self Entry) []Entry {
-	reading := ordered[:min(readers, len(ordered))]
-	if placeOf(reading, self) >= 0 {
+// providersFromSorted is ProvidersOf for entries sorted by rank.
+func providersFromSorted(ordered []Entry, self Entry) []Entry {
+	reading := ordered[:min(readerCount, len(ordered))]
+	if indexOf(reading, self) >= 0 {
 		return nil
 	}
 	hall := slices.DeleteFunc(slices.Clone(ordered), func(e Entry) bool { return e.Hall != self.Hall })
-	at := placeOf(hall, self)
+	at := indexOf(hall, self)
 	var list []Entry
 	if at > 0 {
-		list = append(list, hall[parent(hall, at)], hall[0])
+		list = append(list, hall[parentIndex(hall, at)], hall[0])
 	}
-	return distinct(append(list, reading...))
+	return removeDuplicates(append(list, reading...))
 }
 
-// placeOf is a box's place among some, -1 if it is none of them.
-func placeOf(entries []Entry, box Entry) int {
+// indexOf returns the index of a box in a list, or -1.
+func indexOf(entries []Entry, box Entry) int {
 	return slices.IndexFunc(entries, func(e Entry) bool { return e.Box == box.Box })
 }
 
-// parent returns whom a box of a hall's tree asks, by their places in order. Each box takes
-// as many children as its link bears, the first ones first.
-func parent(hall []Entry, at int) int {
+// parentIndex returns the index of the parent of the box at an index of a hall. Each box in turn
+// takes as many of the following boxes as children as its link allows.
+func parentIndex(hall []Entry, at int) int {
 	taken := 0
 	for i := range hall[:at] {
-		taken += children(hall[i])
+		taken += fanOut(hall[i])
 		if at <= taken {
 			return i
 		}
@@ -69,13 +70,13 @@
 	return 0
 }
 
-// children is how many boxes a box passes something on to.
-func children(e Entry) int {
-	return min(max(int(e.LinkMbps/mbpsPerChild), childrenLeast), childrenMost)
+// fanOut returns the number of children of a box.
+func fanOut(e Entry) int {
+	return min(max(int(e.LinkMbps/mbpsPerChild), minChildren), maxChildren)
 }
 
-// distinct leaves out what stands in the list already.
-func distinct(list []Entry) []Entry {
+// removeDuplicates removes repeated boxes in place.
+func removeDuplicates(list []Entry) []Entry {
 	kept := list[:0]
 	for _, e := range list {
 		if !slices.ContainsFunc(kept, func(k Entry) bool { return k.Box == e.Box }) {
--- a/pkg/roster/tree_test.go
+++ b/pkg/roster/tree_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetOf draws boxes in halls, of which some have fast links.
+// fleetOf returns boxes assigned to halls round-robin, of which one in fastEach has a fast link.
 func fleetOf(boxes, halls int, fastEach int) []Entry {
 	var entries []Entry
 	for i := range boxes {
@@ -22,50 +22,50 @@
 	return entries
 }
 
-// steps is how many boxes an answer passes from a reader to one.
-func steps(t *testing.T, providers map[string][]Entry, box string) int {
+// hops returns the number of hops from a reader to a box.
+func hops(t *testing.T, providers map[string][]Entry, box string) int {
 	count := 0
 	for len(providers[box]) > 0 {
 		box = providers[box][0].Box
 		count++
-		require.Less(t, count, 30, "in a circle")
+		require.Less(t, count, 30, "the providers form a cycle")
 	}
 	return count
 }
 
-// Each box is reached from the readers within a few steps, and none passes on to more
-// boxes than its link bears, the roots of other halls left out.
+// Each box is reached from a reader within a few hops, and no box has more children within its
+// hall than its link allows.
 func TestTreeReachesAllBoxes(t *testing.T) {
-	for _, c := range []struct{ boxes, halls, fastEach, most int }{
+	for _, c := range []struct{ boxes, halls, fastEach, maxHops int }{
 		{2, 1, 1, 0}, {3, 3, 1, 1}, {7, 3, 9, 3}, {87, 5, 20, 4}, {300, 5, 20, 3}, {1700, 7, 20, 3}, {1700, 7, 1000000, 8},
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			entries := fleetOf(c.boxes, c.halls, c.fastEach)
 			hallOf := make(map[string]string)
-			providers, takes := make(map[string][]Entry), make(map[string]int)
-			asking := 0
+			providers, childCount := make(map[string][]Entry), make(map[string]int)
+			fetching := 0
 			for _, e := range entries {
 				hallOf[e.Box] = e.Hall
 				providers[e.Box] = ProvidersOf(entries, e)
 				if len(providers[e.Box]) == 0 {
 					continue
 				}
-				asking++
+				fetching++
 				if first := providers[e.Box][0]; first.Hall == e.Hall {
-					takes[first.Box]++
+					childCount[first.Box]++
 				}
 			}
-			assert.Equal(t, max(0, c.boxes-readers), asking, "all but the readers ask others")
+			assert.Equal(t, max(0, c.boxes-readerCount), fetching, "all but the readers have providers")
 			for _, e := range entries {
-				assert.LessOrEqual(t, takes[e.Box], children(e), e.Box)
-				assert.LessOrEqual(t, steps(t, providers, e.Box), c.most, e.Box)
+				assert.LessOrEqual(t, childCount[e.Box], fanOut(e), e.Box)
+				assert.LessOrEqual(t, hops(t, providers, e.Box), c.maxHops, e.Box)
 			}
 		})
 	}
 }
 
-// While all boxes start, each sees others of the roster: whom they ask must not go in a
-// circle, or nobody would ask the store.
+// At startup each box sees a different part of the roster. The providers must not form a cycle,
+// or no box would read the store.
 func TestNobodyWaitsForItselfThoughAllSeeOthers(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -82,9 +82,9 @@
 		}
 		for _, e := range entries {
 			for _, p := range providers[e.Box] {
-				assert.Equal(t, p, SortByRank([]Entry{e, p})[0], "a box asks those before it")
+				assert.Equal(t, p, SortByRank([]Entry{e, p})[0], "providers have a lower rank")
 			}
-			steps(t, providers, e.Box)
+			hops(t, providers, e.Box)
 		}
 	}
 }
