--- a/pkg/datagram/port.go
+++ b/pkg/datagram/port.go
@@ -1,5 +1,5 @@
-// Package datagram carries small messages between boxes over one UDP port. A message
-// may be lost, doubled or late: whoever sends one must be able to do without it.
+// Package datagram sends small messages between boxes over a single UDP port. Messages may be
+// lost, duplicated or reordered, so senders must not rely on delivery.
 package datagram
 
 import (
@@ -16,53 +16,55 @@
 	"headhill.example/headhill/pkg/datagram/datagrampb"
 )
 
-// MaxDatagramBytes bounds a datagram, in bytes. Longer ones are not sent.
+// MaxDatagramBytes is the maximum size of a datagram. Send rejects larger ones.
 const MaxDatagramBytes = 8 << 10
 
-// Message is one message as it arrived.
+// Message is a received message.
 type Message struct {
-	// Box is the name of the sender, From its address.
+	// Box is the name of the sender, From is its address.
 	Box      string
 	From     *net.UDPAddr
 	Received time.Time
 	Body     []byte
 }
 
-// Deps are what a Port is built on.
+// Deps are the dependencies of a Port.
 type Deps struct {
 	// Box is the name of this box.
 	Box  string
 	Conn net.PacketConn
-	// IsPeer tells whether an address is that of a box of the roster. Others are not
-	// believed.
+	// IsPeer reports whether an address belongs to a box of the roster. Messages from other
+	// addresses are dropped.
 	IsPeer func(netip.AddrPort) bool
 	Logger log.Logger
 }
 
-// Port sends and receives messages. Handlers are set before Listen is called.
+// Port sends and receives messages. Handlers must be set before Listen is called.
 type Port struct {
 	Deps
 	handlers map[string]func(Message)
-	stranger func()
-	heard    func(box string)
+	// onUnknownSender and onReceive are set by OnUnknownSender and OnReceive.
+	onUnknownSender func()
+	onReceive       func(box string)
 }
 
-// NewPort returns a port on an open connection.
+// NewPort returns a Port that uses an open connection.
 func NewPort(d Deps) *Port {
-	return &Port{Deps: d, handlers: make(map[string]func(Message)), stranger: func() {}, heard: func(string) {}}
+	return &Port{Deps: d, handlers: make(map[string]func(Message)), onUnknownSender: func() {}, onReceive: func(string) {}}
 }
 
-// Handle sets who takes the messages of a kind. The handler must not block.
+// Handle sets the handler for messages of a kind. The handler must not block.
 func (p *Port) Handle(kind string, f func(Message)) { p.handlers[kind] = f }
 
-// OnUnknownSender sets who is told of a well-formed message from an unknown box. It must
-// not block.
-func (p *Port) OnUnknownSender(f func()) { p.stranger = f }
+// OnUnknownSender sets a function that is called for each well-formed message from an address
+// that is not a peer. It must not block.
+func (p *Port) OnUnknownSender(f func()) { p.onUnknownSender = f }
 
-// OnReceive sets who is told of each message of a known box. It must not block.
-func (p *Port) OnReceive(f func(box string)) { p.heard = f }
+// OnReceive sets a function that is called for each handled message from a peer. It must
+// not block.
+func (p *Port) OnReceive(f func(box string)) { p.onReceive = f }
 
-// Send sends a message to some boxes. It returns false if the message is too long.
+// Send sends a message to the given addresses. It returns false if the message is too long.
 func (p *Port) Send(kind string, body []byte, to ...*net.UDPAddr) bool {
 	if len(to) == 0 {
 		return true
@@ -72,13 +74,13 @@
 		return false
 	}
 	for _, address := range to {
-		// A datagram that can't be sent counts as lost.
+		// Send errors are treated like a lost datagram.
 		_, _ = p.Conn.WriteTo(data, address)
 	}
 	return true
 }
 
-// Listen hands messages to their handlers until the connection is closed.
+// Listen dispatches messages to their handlers until the connection is closed.
 func (p *Port) Listen() {
 	buffer := make([]byte, MaxDatagramBytes)
 	for {
@@ -93,25 +95,25 @@
 	}
 }
 
-// receive hands one datagram to its handler.
+// receive dispatches one datagram to its handler.
 func (p *Port) receive(data []byte, from net.Addr) {
 	var e datagrampb.Envelope
 	err := proto.Unmarshal(data, &e)
 	handler, handled := p.handlers[e.GetKind()]
-	sender, known := p.knows(from)
+	sender, known := p.peerAddress(from)
 	if err == nil && handled && known {
-		p.heard(e.GetBox())
+		p.onReceive(e.GetBox())
 		handler(Message{Box: e.GetBox(), From: sender, Received: clock.Now(), Body: e.GetBody()})
 		return
 	}
 	if err == nil && handled {
-		p.stranger()
+		p.onUnknownSender()
 	}
 	_ = level.Debug(p.Logger).Log("msg", "datagram dropped", "from", from, "bytes", len(data), "known", known, "handled", handled, "err", err)
 }
 
-// knows returns the address of a known box.
-func (p *Port) knows(from net.Addr) (*net.UDPAddr, bool) {
+// peerAddress returns the UDP address of a sender, and whether it is a peer.
+func (p *Port) peerAddress(from net.Addr) (*net.UDPAddr, bool) {
 	a, ok := from.(*net.UDPAddr)
 	if !ok {
 		return nil, false
@@ -119,7 +121,8 @@
 	return a, p.IsPeer(CanonicalAddrPort(a))
 }
 
-// CanonicalAddrPort is an address in the one form in which boxes are known.
+// CanonicalAddrPort converts an address to the form used in the roster, with IPv4-mapped
+// addresses unmapped.
 func CanonicalAddrPort(a *net.UDPAddr) netip.AddrPort {
 	address := a.AddrPort()
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
--- a/pkg/datagram/port_test.go
+++ b/pkg/datagram/port_test.go
@@ -15,28 +15,28 @@
 	"headhill.example/headhill/pkg/forms/formstest"
 )
 
-const kindWord = "word"
+const testKind = "word"
 
-// knownAddresses are those that ports believe.
-type knownAddresses struct {
+// addressSet is a set of addresses that ports accept as peers.
+type addressSet struct {
 	mu   sync.Mutex
 	list []netip.AddrPort
 }
 
-func (k *knownAddresses) add(a netip.AddrPort) {
+func (k *addressSet) add(a netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.list = append(k.list, a)
 }
 
-func (k *knownAddresses) has(a netip.AddrPort) bool {
+func (k *addressSet) has(a netip.AddrPort) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Contains(k.list, a)
 }
 
-// listen opens a port that believes some addresses.
-func listen(t *testing.T, box string, known *knownAddresses) (*Port, *net.UDPAddr) {
+// listen opens a port whose peers are the known addresses.
+func listen(t *testing.T, box string, known *addressSet) (*Port, *net.UDPAddr) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
@@ -45,39 +45,39 @@
 }
 
 func TestMessagesOfKnownBoxesArrive(t *testing.T) {
-	var known knownAddresses
-	from, fromAddress := listen(t, "sender", &known)
-	to, toAddress := listen(t, "receiver", &known)
+	var known addressSet
+	sender, senderAddress := listen(t, "sender", &known)
+	receiver, receiverAddress := listen(t, "receiver", &known)
 	got := make(chan Message, 10)
-	strangers := make(chan struct{}, 10)
-	to.Handle(kindWord, func(m Message) { got <- m })
-	to.OnUnknownSender(func() { strangers <- struct{}{} })
-	go to.Listen()
+	unknownSenders := make(chan struct{}, 10)
+	receiver.Handle(testKind, func(m Message) { got <- m })
+	receiver.OnUnknownSender(func() { unknownSenders <- struct{}{} })
+	go receiver.Listen()
 
-	require.True(t, from.Send(kindWord, []byte("hello"), toAddress))
+	require.True(t, sender.Send(testKind, []byte("hello"), receiverAddress))
 	select {
-	case <-strangers:
+	case <-unknownSenders:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a stranger is told of")
+		t.Fatal("unknown sender was not reported")
 	}
-	assert.Empty(t, got, "a stranger is not believed")
+	assert.Empty(t, got, "message of an unknown sender was delivered")
 
-	known.add(fromAddress.AddrPort())
-	require.True(t, from.Send(kindWord, []byte("hello"), toAddress))
+	known.add(senderAddress.AddrPort())
+	require.True(t, sender.Send(testKind, []byte("hello"), receiverAddress))
 	select {
 	case m := <-got:
 		assert.Equal(t, "sender", m.Box)
 		assert.Equal(t, "hello", string(m.Body))
 	case <-time.After(10 * time.Second):
-		t.Fatal("the message arrives")
+		t.Fatal("message was not delivered")
 	}
 }
 
 func TestLongMessagesAreNotSent(t *testing.T) {
-	var known knownAddresses
+	var known addressSet
 	p, address := listen(t, "box", &known)
-	assert.False(t, p.Send(kindWord, make([]byte, MaxDatagramBytes), address))
-	assert.True(t, p.Send(kindWord, nil), "nobody to tell is no failure")
+	assert.False(t, p.Send(testKind, make([]byte, MaxDatagramBytes), address))
+	assert.True(t, p.Send(testKind, nil), "sending to no receivers succeeds")
 }
 
 func FuzzReceive(f *testing.F) {
@@ -85,7 +85,7 @@
 	f.Add([]byte("\x12\x05other"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		p := NewPort(Deps{Logger: log.NewNopLogger(), IsPeer: func(netip.AddrPort) bool { return true }})
-		p.Handle(kindWord, func(Message) {})
+		p.Handle(testKind, func(Message) {})
 		p.receive(data, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 5000})
 	})
 }
