--- a/pkg/callrate/limiter.go
+++ b/pkg/callrate/limiter.go
@@ -1,5 +1,5 @@
-// Package callrate keeps the calls of all boxes to their store within the rates that
-// the store takes from them together: each box has its share.
+// Package callrate limits the rate of store calls. The budget of the fleet is divided evenly among
+// the boxes.
 package callrate
 
 import (
@@ -11,52 +11,51 @@
 	"headhill.example/headhill/pkg/inifile"
 )
 
-// Budget is a number of calls a second.
+// Budget is a rate of store calls.
 type Budget struct {
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 }
 
-// DefaultBudget is what the store takes from all boxes together where the settings say
-// nothing.
+// DefaultBudget is the budget of the whole fleet if the settings specify none.
 var DefaultBudget = Budget{ReadsPerSecond: 2000, WritesPerSecond: 400}
 
-// mostPerSecond bounds a rate in the settings.
-const mostPerSecond = 1e6
+// maxPerSecond is the maximum rate accepted in the settings.
+const maxPerSecond = 1e6
 
-// ReadSettings reads the rates from a section of the settings.
+// ReadSettings reads the rates from a section of the settings file.
 func ReadSettings(s *inifile.Section, b *Budget) {
-	s.Float("reads-per-second", &b.ReadsPerSecond, 1, mostPerSecond)
-	s.Float("writes-per-second", &b.WritesPerSecond, 1, mostPerSecond)
+	s.Float("reads-per-second", &b.ReadsPerSecond, 1, maxPerSecond)
+	s.Float("writes-per-second", &b.WritesPerSecond, 1, maxPerSecond)
 }
 
 const (
-	// readsLeast and writesLeast are what a box keeps in however large a fleet, so
-	// that it can make progress.
-	readsLeast  = 0.5
-	writesLeast = 0.2
-	// burstLeast lets a starting box read its configuration in one go.
-	burstLeast = 10
+	// minReadsPerSecond and minWritesPerSecond are the minimum share of a box, so that it makes
+	// progress even in a very large fleet.
+	minReadsPerSecond  = 0.5
+	minWritesPerSecond = 0.2
+	// minBurst allows a starting box to read its configuration without delay.
+	minBurst = 10
 )
 
-// Share divides a budget among boxes.
+// Share returns the share of one box in a fleet of the given size.
 func (b Budget) Share(boxes int) Budget {
 	n := float64(max(1, boxes))
-	return Budget{ReadsPerSecond: max(b.ReadsPerSecond/n, readsLeast), WritesPerSecond: max(b.WritesPerSecond/n, writesLeast)}
+	return Budget{ReadsPerSecond: max(b.ReadsPerSecond/n, minReadsPerSecond), WritesPerSecond: max(b.WritesPerSecond/n, minWritesPerSecond)}
 }
 
-// Calls counts calls by kind.
+// Calls holds the number of calls by kind.
 type Calls struct {
 	Reads, Writes uint64
 }
 
-// Limiter makes calls wait for their turn.
+// Limiter delays store calls to keep them within a budget.
 type Limiter struct {
 	reads, writes         *rate.Limiter
 	readCalls, writeCalls atomic.Uint64
 }
 
-// New returns a limiter of a budget.
+// New returns a Limiter for a budget.
 func New(b Budget) *Limiter {
 	return &Limiter{
 		reads:  rate.NewLimiter(rate.Limit(b.ReadsPerSecond), burst(b.ReadsPerSecond)),
@@ -64,9 +63,9 @@
 	}
 }
 
-func burst(perSecond float64) int { return max(burstLeast, int(perSecond)) }
+func burst(perSecond float64) int { return max(minBurst, int(perSecond)) }
 
-// SetBudget changes the rates, as when the number of boxes changes.
+// SetBudget changes the budget, for example when the number of boxes changes.
 func (l *Limiter) SetBudget(b Budget) {
 	l.reads.SetLimit(rate.Limit(b.ReadsPerSecond))
 	l.reads.SetBurst(burst(b.ReadsPerSecond))
@@ -74,8 +73,7 @@
 	l.writes.SetBurst(burst(b.WritesPerSecond))
 }
 
-// Wait counts a call and returns when it may be made, or with an error if ctx ends
-// before that.
+// Wait counts a call and blocks until it may be made. It returns an error if ctx ends first.
 func (l *Limiter) Wait(ctx context.Context, write bool) error {
 	if write {
 		l.writeCalls.Add(1)
@@ -85,7 +83,7 @@
 	return l.reads.Wait(ctx)
 }
 
-// Calls returns the calls counted so far.
+// Calls returns the number of calls counted so far.
 func (l *Limiter) Calls() Calls {
 	return Calls{Reads: l.readCalls.Load(), Writes: l.writeCalls.Load()}
 }
--- a/pkg/callrate/limiter_test.go
+++ b/pkg/callrate/limiter_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Boxes that all call as fast as they can stay within the budget of the fleet.
+// Boxes that call as fast as they can must stay within the budget of the fleet.
 func TestFleetStaysWithinItsBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, seconds = 20, 30
@@ -36,7 +36,7 @@
 			reads += l.Calls().Reads
 			writes += l.Calls().Writes
 		}
-		// Each box may begin with a burst, and has one call of each kind waiting.
+		// Each box may start with a burst, and has one pending call of each kind.
 		burst := boxes * (float64(burst(fleet.Share(boxes).ReadsPerSecond)) + 1)
 		assert.LessOrEqual(t, float64(reads), fleet.ReadsPerSecond*seconds+burst)
 		assert.LessOrEqual(t, float64(writes), fleet.WritesPerSecond*seconds+burst)
@@ -44,13 +44,13 @@
 	})
 }
 
-func TestBoxKeepsALittleInAHugeFleet(t *testing.T) {
+func TestShareHasMinimum(t *testing.T) {
 	share := DefaultBudget.Share(1e6)
-	assert.Equal(t, Budget{ReadsPerSecond: readsLeast, WritesPerSecond: writesLeast}, share)
+	assert.Equal(t, Budget{ReadsPerSecond: minReadsPerSecond, WritesPerSecond: minWritesPerSecond}, share)
 	assert.Equal(t, DefaultBudget, DefaultBudget.Share(0))
 	l := New(share)
-	for range burstLeast {
-		require.NoError(t, l.Wait(context.Background(), false), "enough to start with")
+	for range minBurst {
+		require.NoError(t, l.Wait(context.Background(), false), "the initial burst is allowed")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
