--- a/pkg/snapshot/boxes_test.go
+++ b/pkg/snapshot/boxes_test.go
@@ -17,8 +17,7 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// A box that starts has the boxes from one that knows all of them, and waits while that reads them
-// itself.
+// A starting box fetches the roster from another box, and waits while that box is loading it.
 func TestBoxesAreHadFromAnother(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 985 {
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -20,150 +20,145 @@
 )
 
 const (
-	// firstShare is the part of the wait that a box is given while there are others to ask.
-	firstShare = 2.0 / 3
-	// askLeast is the least time for which it makes sense to ask a box.
-	askLeast = 20 * time.Millisecond
-	// wayMost is how long a question and the beginning of its answer may be on their way.
-	wayMost = 50 * time.Millisecond
-	// silenceMost is how long an answer that has begun may stand still.
-	silenceMost = 300 * time.Millisecond
-	// answerMost bounds a whole answer: what trickles is left for the source.
-	answerMost = 10 * time.Second
-	// firstLeast and firstSpread bound for how long a box that has nothing waits for others that are
-	// still reading. The first boxes take about a second to read a list of 10,000 servers in its
-	// pages, and those that pass it on as long again.
-	firstLeast  = 3 * time.Second
-	firstSpread = 5 * time.Second
-	// tableRounds and listRounds are how often more a box asks for changes that others are still
-	// reading, each time for the wait. They have to be in force within six times the wait; a table
-	// takes longer to be read from the source than changes of the list.
-	tableRounds = 1
-	listRounds  = 2
-	// loadingPause is how long a box rests between two rounds.
-	loadingPause = 50 * time.Millisecond
-	// passedOver is how long a box that gave no answer is asked after the others.
-	passedOver = 5 * time.Second
+	// perBoxShare is the fraction of the remaining wait given to each box but the last.
+	perBoxShare = 2.0 / 3
+	// minAskTime is the minimum remaining wait for asking another box.
+	minAskTime = 20 * time.Millisecond
+	// maxRoundTrip is the network time allowed in addition to the wait.
+	maxRoundTrip = 50 * time.Millisecond
+	// stallTimeout is how long a response may stall after its first byte.
+	stallTimeout = 300 * time.Millisecond
+	// maxResponseTime limits the time to receive a response.
+	maxResponseTime = 10 * time.Second
+	// minStartupWait and startupWaitJitter bound how long a starting box waits for others that
+	// are still loading.
+	minStartupWait    = 3 * time.Second
+	startupWaitJitter = 5 * time.Second
+	// tableRetries and listRetries are how often a request for a change is retried while other
+	// boxes are still loading it.
+	tableRetries = 1
+	listRetries  = 2
+	// retryDelay is the delay between two retries.
+	retryDelay = 50 * time.Millisecond
+	// unresponsivePeriod is how long a box that did not respond is asked after the others.
+	unresponsivePeriod = 5 * time.Second
 )
 
-// Client asks other boxes. It implements directory.Providers.
+// Client fetches snapshots from other boxes. It implements directory.Providers.
 type Client struct {
-	http      *http.Client
-	providers func() []string
-	wait      func() time.Duration
+	http            *http.Client
+	providers       func() []string
+	responseTimeout func() time.Duration
 
 	mu sync.Mutex
-	// silent are the addresses of boxes that gave no answer, and when.
-	silent map[string]time.Time
+	// unresponsive maps the addresses of boxes that did not respond to the time of the request.
+	unresponsive map[string]time.Time
 }
 
-// ClientDeps are what a Client is built on.
+// ClientDeps are the dependencies of a Client.
 type ClientDeps struct {
-	// Providers are the addresses of the boxes to ask, in order.
+	// Providers returns the addresses of the boxes to ask, in order.
 	Providers func() []string
-	// ResponseTimeout is how long they may take together to begin an answer. The source could have been
-	// asked in that time.
+	// ResponseTimeout returns the time in which one of the boxes must start to respond. After
+	// that, reading from the source is faster.
 	ResponseTimeout func() time.Duration
 }
 
-// NewClient returns a client.
+// NewClient returns a Client.
 func NewClient(d ClientDeps) *Client {
 	t := &http.Transport{
 		DisableCompression: true,
-		// Questions are rare: a kept connection to each box would cost more than it saves.
+		// Requests are rare, so idle connections to all boxes would not pay off.
 		DisableKeepAlives: true,
 	}
-	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, wait: d.ResponseTimeout, silent: make(map[string]time.Time)}
+	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, responseTimeout: d.ResponseTimeout, unresponsive: make(map[string]time.Time)}
 }
 
 // Table implements directory.Providers.
-func (c *Client) Table(ctx context.Context, inForce *routing.Table, least uint64) (directory.TableCopy, error) {
-	if inForce == nil {
-		inForce = emptyTable
+func (c *Client) Table(ctx context.Context, current *routing.Table, minRevision uint64) (directory.TableCopy, error) {
+	if current == nil {
+		current = emptyTable
 	}
-	return ask(ctx, c, again(least, tableRounds), func(ctx context.Context, address string, wait time.Duration) (directory.TableCopy, error) {
+	return ask(ctx, c, retryPolicy(minRevision, tableRetries), func(ctx context.Context, address string, wait time.Duration) (directory.TableCopy, error) {
 		var delta routing.Delta
-		k, has, err := c.fetch(ctx, address, pathTable, question{least: least, inForce: inForce.Version, wait: wait}, func(known) any { return &delta })
+		m, hasBody, err := c.fetch(ctx, address, pathTable, request{minRevision: minRevision, tableVersion: current.Version, wait: wait}, func(metadata) any { return &delta })
 		if err != nil {
 			return directory.TableCopy{}, err
 		}
-		table := inForce
-		if has {
-			table, err = applied(inForce, delta, address)
+		table := current
+		if hasBody {
+			table, err = applyDelta(current, delta, address)
 		}
-		return directory.TableCopy{Table: table, Revision: k.revision, Changed: k.changed, Read: time.Now().Add(-k.age)}, err
+		return directory.TableCopy{Table: table, Revision: m.revision, Changed: m.changed, Read: time.Now().Add(-m.age)}, err
 	})
 }
 
-// applied returns the table that a delta leads to, which begins at the one in force or at
-// nothing.
-func applied(inForce *routing.Table, delta routing.Delta, address string) (*routing.Table, error) {
-	from := inForce
+// applyDelta applies a delta that starts from the current table or from the empty table.
+func applyDelta(current *routing.Table, delta routing.Delta, address string) (*routing.Table, error) {
+	from := current
 	if delta.From == emptyTable.Version {
 		from = emptyTable
 	}
 	table, ok := from.Apply(delta)
 	if !ok {
-		return nil, &DamagedError{Address: address, Reason: "it leads to another table than its sender has"}
+		return nil, &DamagedError{Address: address, Reason: "delta does not produce the table of the sender"}
 	}
 	return table, nil
 }
 
 // Servers implements directory.Providers.
-func (c *Client) Servers(ctx context.Context, since, least uint64) (directory.ListCopy, error) {
-	return ask(ctx, c, again(least, listRounds), func(ctx context.Context, address string, wait time.Duration) (directory.ListCopy, error) {
+func (c *Client) Servers(ctx context.Context, since, minRevision uint64) (directory.ListCopy, error) {
+	return ask(ctx, c, retryPolicy(minRevision, listRetries), func(ctx context.Context, address string, wait time.Duration) (directory.ListCopy, error) {
 		var list directory.ListCopy
-		k, has, err := c.fetch(ctx, address, pathServers, question{least: least, since: since, wait: wait}, func(k known) any {
-			if k.since == 0 {
+		m, hasBody, err := c.fetch(ctx, address, pathServers, request{minRevision: minRevision, since: since, wait: wait}, func(m metadata) any {
+			if m.since == 0 {
 				return &list.Servers
 			}
-			list.Delta = &directory.Delta{From: k.since, To: k.revision}
+			list.Delta = &directory.Delta{From: m.since, To: m.revision}
 			return &list.Delta.Events
 		})
-		if err == nil && !has {
-			err = &DamagedError{Address: address, Reason: "it holds no list"}
+		if err == nil && !hasBody {
+			err = &DamagedError{Address: address, Reason: "no server list in body"}
 		}
-		list.Revision, list.Changed, list.Evacuations = k.revision, k.changed, k.evacuations
-		list.Read = time.Now().Add(-k.age)
+		list.Revision, list.Changed, list.Evacuations = m.revision, m.changed, m.evacuations
+		list.Read = time.Now().Add(-m.age)
 		return list, err
 	})
 }
 
-// Boxes asks for the boxes that there are: at first for as long as for the rest that a box needs,
-// later once.
-func (c *Client) Boxes(ctx context.Context, first bool) (roster.Snapshot, error) {
-	more := never
-	if first {
-		more = againAtFirst()
+// Boxes fetches the roster. A starting box retries while other boxes are loading.
+func (c *Client) Boxes(ctx context.Context, starting bool) (roster.Snapshot, error) {
+	retry := noRetry
+	if starting {
+		retry = startupRetry()
 	}
-	return ask(ctx, c, more, func(ctx context.Context, address string, wait time.Duration) (roster.Snapshot, error) {
+	return ask(ctx, c, retry, func(ctx context.Context, address string, wait time.Duration) (roster.Snapshot, error) {
 		var entries []roster.Entry
-		k, has, err := c.fetch(ctx, address, pathBoxes, question{wait: wait}, func(known) any { return &entries })
-		if err == nil && !has {
-			err = &DamagedError{Address: address, Reason: "it holds no boxes"}
+		m, hasBody, err := c.fetch(ctx, address, pathBoxes, request{wait: wait}, func(metadata) any { return &entries })
+		if err == nil && !hasBody {
+			err = &DamagedError{Address: address, Reason: "no roster in body"}
 		}
-		return roster.Snapshot{Entries: entries, Revision: k.revision}, err
+		return roster.Snapshot{Entries: entries, Revision: m.revision}, err
 	})
 }
 
-// ask asks one box after the other until one answers. It gives up when none has begun to in time,
-// but may ask again as long as one of them is still reading what is asked for: of hundreds all others
-// would read the source for themselves.
-func ask[T any](ctx context.Context, c *Client, again func() bool, one func(context.Context, string, time.Duration) (T, error)) (T, error) {
+// ask asks the boxes in turn until one responds. It retries while a box is still loading the
+// data, which keeps many boxes from reading the source at once.
+func ask[T any](ctx context.Context, c *Client, retry func() bool, askOne func(context.Context, string, time.Duration) (T, error)) (T, error) {
 	for {
-		got, err := askOnce(ctx, c, one)
-		if err == nil || !isLoading(err) || ctx.Err() != nil || !again() {
+		got, err := askEach(ctx, c, askOne)
+		if err == nil || !anyLoading(err) || ctx.Err() != nil || !retry() {
 			return got, err
 		}
-		pause.For(ctx, loadingPause)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-// again tells whether boxes that are still reading a part are asked once more: for some rounds where
-// it has changed, for some time where a box has nothing.
-func again(least uint64, rounds int) func() bool {
-	if least == 0 {
-		return againAtFirst()
+// retryPolicy returns a function that reports whether to retry while other boxes are loading. The
+// retries are limited by count for a change, and by time for a box that has no data yet.
+func retryPolicy(minRevision uint64, rounds int) func() bool {
+	if minRevision == 0 {
+		return startupRetry()
 	}
 	return func() bool {
 		rounds--
@@ -171,19 +166,19 @@
 	}
 }
 
-// againAtFirst is true for some time. Boxes draw it, so that where all of them wait in vain a few ask
-// the source first, and the others have it from those.
-func againAtFirst() func() bool {
-	end := time.Now().Add(firstLeast + rand.N(firstSpread))
+// startupRetry returns a policy that retries for a random time. The jitter keeps boxes that wait
+// for each other from reading the source all at once.
+func startupRetry() func() bool {
+	end := time.Now().Add(minStartupWait + rand.N(startupWaitJitter))
 	return func() bool { return time.Now().Before(end) }
 }
 
-// never is for what is asked for once.
-func never() bool { return false }
+// noRetry is a policy without retries.
+func noRetry() bool { return false }
 
-// isLoading tells whether any box was still reading what it was asked for.
-func isLoading(err error) bool {
-	for _, e := range failuresOf(err) {
+// anyLoading reports whether any box was still loading the requested data.
+func anyLoading(err error) bool {
+	for _, e := range joinedErrors(err) {
 		var status *StatusError
 		if errors.As(e, &status) && status.Loading {
 			return true
@@ -192,30 +187,30 @@
 	return false
 }
 
-// failuresOf are the errors that make one up.
-func failuresOf(err error) []error {
+// joinedErrors returns the errors that were joined into one.
+func joinedErrors(err error) []error {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		return joined.Unwrap()
 	}
 	return []error{err}
 }
 
-// askOnce asks one box after the other, each once, until one answers.
-func askOnce[T any](ctx context.Context, c *Client, one func(context.Context, string, time.Duration) (T, error)) (T, error) {
+// askEach asks each box once, in turn, until one responds.
+func askEach[T any](ctx context.Context, c *Client, askOne func(context.Context, string, time.Duration) (T, error)) (T, error) {
 	var none T
 	var failures []error
-	end := time.Now().Add(min(c.wait(), waitMost))
-	addresses := c.inOrder()
+	end := time.Now().Add(min(c.responseTimeout(), maxWait))
+	addresses := c.orderedAddresses()
 	for i, address := range addresses {
 		wait := time.Until(end)
-		if wait < askLeast {
+		if wait < minAskTime {
 			break
 		}
 		if i < len(addresses)-1 {
-			wait = time.Duration(firstShare * float64(wait))
+			wait = time.Duration(perBoxShare * float64(wait))
 		}
-		got, err := one(ctx, address, wait)
-		c.note(address, err)
+		got, err := askOne(ctx, address, wait)
+		c.recordResult(address, err)
 		if err == nil {
 			return got, nil
 		}
@@ -227,70 +222,70 @@
 	return none, errors.Join(failures...)
 }
 
-// inOrder are the boxes to ask, those last that have just given no answer.
-func (c *Client) inOrder() []string {
+// orderedAddresses returns the addresses of the boxes to ask, with unresponsive boxes last.
+func (c *Client) orderedAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var answering, silent []string
+	var responsive, unresponsive []string
 	for _, address := range c.providers() {
-		if since, failed := c.silent[address]; failed && time.Since(since) < passedOver {
-			silent = append(silent, address)
+		if since, failed := c.unresponsive[address]; failed && time.Since(since) < unresponsivePeriod {
+			unresponsive = append(unresponsive, address)
 			continue
 		}
-		answering = append(answering, address)
+		responsive = append(responsive, address)
 	}
-	return append(answering, silent...)
+	return append(responsive, unresponsive...)
 }
 
-// note notes whether a box has answered. One that says that it can't serve has; one of an earlier
-// build is asked after the others.
-func (c *Client) note(address string, err error) {
+// recordResult records whether a box has responded. An error status counts as a response, while a
+// box with an older build counts as unresponsive.
+func (c *Client) recordResult(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var status *StatusError
 	if err == nil || errors.As(err, &status) {
-		delete(c.silent, address)
+		delete(c.unresponsive, address)
 		return
 	}
-	c.silent[address] = time.Now()
+	c.unresponsive[address] = time.Now()
 }
 
-// fetch asks one box for a part, and decodes it into what the head of the answer calls for. It
-// returns false where the box has what the asker has.
-func (c *Client) fetch(ctx context.Context, address, path string, q question, to func(known) any) (known, bool, error) {
-	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: q.wait + wayMost, Idle: silenceMost, Total: answerMost})
+// fetch sends a request to one box and decodes the body into the value returned by target. It
+// returns false if there is no body, because the requester's data is current.
+func (c *Client) fetch(ctx context.Context, address, path string, q request, target func(metadata) any) (metadata, bool, error) {
+	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: q.wait + maxRoundTrip, Idle: stallTimeout, Total: maxResponseTime})
 	defer cancel()
 	values := url.Values{
-		keyLeast:   {strconv.FormatUint(q.least, 10)},
-		keyInForce: {strconv.FormatUint(q.inForce, 10)},
-		keySince:   {strconv.FormatUint(q.since, 10)},
-		keyWait:    {strconv.FormatInt(q.wait.Milliseconds(), 10)},
+		paramMinRevision:  {strconv.FormatUint(q.minRevision, 10)},
+		paramTableVersion: {strconv.FormatUint(q.tableVersion, 10)},
+		paramSince:        {strconv.FormatUint(q.since, 10)},
+		paramWait:         {strconv.FormatInt(q.wait.Milliseconds(), 10)},
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path+"?"+values.Encode(), nil)
 	if err != nil {
-		return known{}, false, err
+		return metadata{}, false, err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return known{}, false, errors.Join(err, context.Cause(ctx))
+		return metadata{}, false, errors.Join(err, context.Cause(ctx))
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return known{}, false, &StatusError{Address: address, Status: resp.StatusCode, Loading: resp.Header.Get(headerLoading) != ""}
+		return metadata{}, false, &StatusError{Address: address, Status: resp.StatusCode, Loading: resp.Header.Get(headerLoading) != ""}
 	}
-	k, ok := readKnown(resp.Header)
-	if !ok || k.revision < q.least {
-		return known{}, false, &DamagedError{Address: address, Reason: "it does not say up to where it is known, or not as far as was asked"}
+	m, ok := parseMetadata(resp.Header)
+	if !ok || m.revision < q.minRevision {
+		return metadata{}, false, &DamagedError{Address: address, Reason: "headers missing or invalid, or revision too old"}
 	}
-	if path != pathBoxes && !forms.Whole(k.level) {
-		return known{}, false, &OlderBuildError{Address: address, Level: forms.Of(k.level)}
+	if path != pathBoxes && !forms.Whole(m.level) {
+		return metadata{}, false, &OlderBuildError{Address: address, Level: forms.Of(m.level)}
 	}
 	if resp.StatusCode == http.StatusNoContent {
-		return k, false, nil
+		return m, false, nil
 	}
-	body := stall.NewReader(ctx, io.LimitReader(resp.Body, bodyMost))
-	if err := decode(body, to(k)); err != nil {
-		return known{}, false, errors.Join(&DamagedError{Address: address, Reason: "its body is no part"}, err, context.Cause(ctx))
+	body := stall.NewReader(ctx, io.LimitReader(resp.Body, maxBodyBytes))
+	if err := decode(body, target(m)); err != nil {
+		return metadata{}, false, errors.Join(&DamagedError{Address: address, Reason: "body cannot be decoded"}, err, context.Cause(ctx))
 	}
-	return k, true, nil
+	return m, true, nil
 }
--- a/pkg/snapshot/doc.go
+++ b/pkg/snapshot/doc.go
@@ -1,7 +1,6 @@
-// Package snapshot serves what a box knows of the routing table and of the backend servers
-// to other boxes, and fetches it from them, over HTTP. A large change so leaves the store a
-// few times only, however many boxes there are. An answer is encoded once for all who ask
-// for the same.
+// Package snapshot serves the routing table, the list of backend servers and the roster of a
+// box to other boxes over HTTP, and fetches them from other boxes. This way few boxes read
+// large changes from the store. Responses are encoded once and shared between requests.
 package snapshot
 
 import (
@@ -16,116 +15,113 @@
 	"headhill.example/headhill/pkg/forms"
 )
 
-// Paths of the two parts.
 const (
 	pathTable   = "/table"
 	pathServers = "/servers"
-	// pathBoxes leads to the boxes that there are.
-	pathBoxes = "/boxes"
+	pathBoxes   = "/boxes"
 )
 
-// Query keys.
+// Query parameters.
 const (
-	// keyLeast is the revision at which the part has to be known at the least.
-	keyLeast = "least"
-	// keyInForce is the version of the table that the asker has; zero for none.
-	keyInForce = "in-force"
-	// keySince is the revision at which the asker knows the list of servers; zero for none.
-	keySince = "since"
-	// keyWait is how many milliseconds the asker would wait for a revision that this box
-	// does not know yet.
-	keyWait = "wait-ms"
+	// paramMinRevision is the minimum revision of the response.
+	paramMinRevision = "least"
+	// paramTableVersion is the version of the requester's table, or zero for none.
+	paramTableVersion = "in-force"
+	// paramSince is the revision of the requester's server list, or zero for none.
+	paramSince = "since"
+	// paramWait is how long to wait for the minimum revision, in milliseconds.
+	paramWait = "wait-ms"
 )
 
-// Headers that say up to where what is sent is known, and how old that is. Boxes need not
-// agree on the time of day.
+// Response headers. Times are sent as ages, since wall clocks differ between boxes.
 const (
 	headerRevision = "Belief-Revision"
 	headerChanged  = "Belief-Changed"
 	headerAge      = "Belief-Age-Ms"
-	// headerLoading says that the sender has nothing yet, and is reading it.
+	// headerLoading is set if the sender is still loading the requested data.
 	headerLoading = "Belief-Loading"
-	// headerSince says that only what has changed in the list of servers after a revision is sent.
+	// headerSince is set if the body holds only the changes of the server list since a revision.
 	headerSince = "Belief-Since"
-	// headerEvacuations tells the evacuated halls, as JSON, with the list of servers. It is missing
-	// where the sender does not know them.
+	// headerEvacuations holds the evacuated halls as JSON. It is sent with the server list,
+	// unless the sender does not know them.
 	headerEvacuations = "Belief-Evacuations"
-	// headerLevel is the level of the forms that the sender reads.
+	// headerLevel is the forms level that the sender reads.
 	headerLevel = "Belief-Level"
 )
 
 const (
-	// waitMost bounds how long a box is made to wait for what this one does not know yet.
-	waitMost = time.Second
-	// bodyMost bounds a part, in bytes before compression: tables of some megabytes and
-	// lists of some thousand servers are expected.
-	bodyMost = 64 << 20
+	// maxWait limits how long a request may wait for its minimum revision.
+	maxWait = time.Second
+	// maxBodyBytes limits the size of a body, both compressed and uncompressed.
+	maxBodyBytes = 64 << 20
 )
 
-// StatusError is an answer of another box that is no success.
+// StatusError is returned for a response with an error status.
 type StatusError struct {
 	Address string
 	Status  int
-	// Loading says that the box has nothing yet, and is reading it.
+	// Loading is set if the box is still loading the requested data.
 	Loading bool
 }
 
 func (e *StatusError) Error() string {
 	if e.Loading {
-		return fmt.Sprintf("box at %s is still reading what it was asked for: it is asked again", e.Address)
+		return fmt.Sprintf("box at %s is still loading the requested data", e.Address)
 	}
-	return fmt.Sprintf("box at %s answered %d: the next one or the source is asked", e.Address, e.Status)
+	return fmt.Sprintf("box at %s returned status %d", e.Address, e.Status)
 }
 
-// OlderBuildError is an answer of a box that reads less of the store than this one.
+// OlderBuildError is returned for a response of a box that reads a lower forms level than this one.
 type OlderBuildError struct {
 	Address string
 	Level   int
 }
 
 func (e *OlderBuildError) Error() string {
-	return fmt.Sprintf("box at %s is of an earlier build, which reads forms of level %d and not of %d: the next one or the source is asked", e.Address, e.Level, forms.Level)
+	return fmt.Sprintf("box at %s runs an older build: it reads forms level %d, level %d is required", e.Address, e.Level, forms.Level)
 }
 
-// DamagedError is an answer that is not what its sender has.
+// DamagedError is returned for an invalid response.
 type DamagedError struct {
 	Address string
 	Reason  string
 }
 
 func (e *DamagedError) Error() string {
-	return fmt.Sprintf("answer of the box at %s can't be used, %s: the next one or the source is asked", e.Address, e.Reason)
+	return fmt.Sprintf("invalid response from box at %s: %s", e.Address, e.Reason)
 }
 
-// known is up to where a part is known.
-type known struct {
+// metadata holds the contents of the response headers.
+type metadata struct {
+	// revision is the revision at which the data was confirmed, changed that of its last change.
 	revision, changed uint64
-	age               time.Duration
-	// since is the revision after which changes of the list are sent; zero for the whole.
+	// age is the time since the data was confirmed.
+	age time.Duration
+	// since is the revision from which the body holds changes, or zero for the full list.
 	since uint64
-	// level is that of the forms that the sender reads; zero where it does not say.
+	// level is the forms level that the sender reads, or zero if the header is missing.
 	level int
-	// evacuations are known with the list of servers only.
+	// evacuations are set only with the server list.
 	evacuations directory.Evacuations
 }
 
-func (k known) write(h http.Header) {
-	h.Set(headerRevision, strconv.FormatUint(k.revision, 10))
-	h.Set(headerChanged, strconv.FormatUint(k.changed, 10))
-	h.Set(headerAge, strconv.FormatInt(k.age.Milliseconds(), 10))
+func (m metadata) write(h http.Header) {
+	h.Set(headerRevision, strconv.FormatUint(m.revision, 10))
+	h.Set(headerChanged, strconv.FormatUint(m.changed, 10))
+	h.Set(headerAge, strconv.FormatInt(m.age.Milliseconds(), 10))
 	h.Set(headerLevel, strconv.Itoa(forms.Level))
-	if k.since > 0 {
-		h.Set(headerSince, strconv.FormatUint(k.since, 10))
+	if m.since > 0 {
+		h.Set(headerSince, strconv.FormatUint(m.since, 10))
 	}
-	if k.evacuations.Revision > 0 {
-		// Plain structs always encode.
-		text, _ := json.Marshal(k.evacuations)
+	if m.evacuations.Revision > 0 {
+		// Encoding a plain struct does not fail.
+		text, _ := json.Marshal(m.evacuations)
 		h.Set(headerEvacuations, string(text))
 	}
 }
 
-// readEvacuations reads the evacuated halls, none where they are not told.
-func readEvacuations(h http.Header) (e directory.Evacuations, ok bool) {
+// parseEvacuations parses the evacuated halls. It returns none if the header is missing.
+func parseEvacuations(h http.Header) (e directory.Evacuations, ok bool) {
 	text := h.Get(headerEvacuations)
 	if text == "" {
 		return e, true
@@ -134,9 +130,8 @@
 	return e, err == nil
 }
 
-// readKnown reads the headers of an answer. It returns false where one is missing or makes
-// no sense.
-func readKnown(h http.Header) (known, bool) {
+// parseMetadata parses the response headers. It returns false if one is missing or invalid.
+func parseMetadata(h http.Header) (metadata, bool) {
 	revision, err1 := strconv.ParseUint(h.Get(headerRevision), 10, 64)
 	changed, err2 := strconv.ParseUint(h.Get(headerChanged), 10, 64)
 	age, err3 := strconv.ParseUint(h.Get(headerAge), 10, 32)
@@ -145,15 +140,15 @@
 	if text := h.Get(headerSince); text != "" {
 		since, err4 = strconv.ParseUint(text, 10, 64)
 	}
-	named := 0
+	level := 0
 	var err5 error
 	if text := h.Get(headerLevel); text != "" {
-		named, err5 = strconv.Atoi(text)
+		level, err5 = strconv.Atoi(text)
 	}
-	evacuations, told := readEvacuations(h)
-	ok := errors.Join(err1, err2, err3, err4, err5) == nil && changed <= revision && told
-	return known{
+	evacuations, valid := parseEvacuations(h)
+	ok := errors.Join(err1, err2, err3, err4, err5) == nil && changed <= revision && valid
+	return metadata{
 		revision: revision, changed: changed, since: since, age: time.Duration(age) * time.Millisecond,
-		level: named, evacuations: evacuations,
+		level: level, evacuations: evacuations,
 	}, ok
 }
--- a/pkg/snapshot/earlier_test.go
+++ b/pkg/snapshot/earlier_test.go
@@ -23,17 +23,17 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// otherDigest are builds whose digest covers less of a table: theirs is refused, and the source asked.
-var otherDigest = []string{"48cfb53"}
+// incompatibleDigests lists builds whose table digest covers fewer fields. Their tables are rejected.
+var incompatibleDigests = []string{"48cfb53"}
 
-// The tables and lists that earlier builds serve are read; a table counts only where its digest says
-// that all that its sender had has arrived.
+// Tables and server lists recorded from earlier builds are decoded. Tables with an incompatible
+// digest are rejected.
 func TestPartsOfEarlierBuildsAreRead(t *testing.T) {
 	for name, body := range formstest.Recorded(t, "table.gz") {
 		var d routing.Delta
 		require.NoError(t, decode(bytes.NewReader(body), &d), name)
-		table, err := applied(emptyTable, d, name)
-		if slices.Contains(otherDigest, path.Dir(name)) {
+		table, err := applyDelta(emptyTable, d, name)
+		if slices.Contains(incompatibleDigests, path.Dir(name)) {
 			var damaged *DamagedError
 			assert.ErrorAs(t, err, &damaged, name)
 			continue
@@ -53,14 +53,14 @@
 	}
 }
 
-// A box of an earlier build has read less of the store: what it has is not taken.
+// Tables and server lists from a box with a lower forms level are rejected.
 func TestPartsOfEarlierBuildsAreNotTaken(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(4), revision: 9})
 	s := NewServer(ServerDeps{
 		Directory: d, Logger: log.NewNopLogger(), IsPeerHost: func(netip.Addr) bool { return true },
 		Boxes: func() (roster.Snapshot, bool) { return roster.Snapshot{Entries: []roster.Entry{{Box: "box-1"}}}, true },
 	})
-	for level, taken := range map[string]bool{"": false, strconv.Itoa(forms.Level - 1): false, strconv.Itoa(forms.Level): true, strconv.Itoa(forms.Level + 1): true} {
+	for level, accepted := range map[string]bool{"": false, strconv.Itoa(forms.Level - 1): false, strconv.Itoa(forms.Level): true, strconv.Itoa(forms.Level + 1): true} {
 		earlier := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			s.Handler().ServeHTTP(&levelWriter{ResponseWriter: w, level: level}, r)
 		}))
@@ -69,14 +69,14 @@
 		_, err2 := c.Servers(t.Context(), 0, 9)
 		_, err3 := c.Boxes(t.Context(), false)
 		var older *OlderBuildError
-		assert.Equal(t, !taken, errors.As(err, &older), "table, level %q: %v", level, err)
-		assert.Equal(t, !taken, errors.As(err2, &older), "list, level %q: %v", level, err2)
-		assert.NoError(t, err3, "who is there is the same for all, level %q", level)
+		assert.Equal(t, !accepted, errors.As(err, &older), "table, level %q: %v", level, err)
+		assert.Equal(t, !accepted, errors.As(err2, &older), "list, level %q: %v", level, err2)
+		assert.NoError(t, err3, "the roster is accepted at any level, level %q", level)
 		earlier.Close()
 	}
 }
 
-// levelWriter has an answer name another level, or none.
+// levelWriter replaces the level header of a response, or removes it.
 type levelWriter struct {
 	http.ResponseWriter
 	level string
--- a/pkg/snapshot/encode.go
+++ b/pkg/snapshot/encode.go
@@ -13,31 +13,29 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// emptyTable is what a box has that has no table yet.
+// emptyTable is the table of a box that has none yet.
 var emptyTable = routing.NewTable(routing.Content{})
 
-// tablesKept is how many earlier tables are kept to tell their holders only what has
-// changed since.
-const tablesKept = 4
+// maxPreviousTables is how many earlier tables are kept for computing deltas.
+const maxPreviousTables = 4
 
-// tableEncoder encodes what leads to the table in force, once for each version from which
-// it is asked for.
+// tableEncoder encodes deltas to the current table and caches them by base version.
 type tableEncoder struct {
-	mu     sync.Mutex
-	table  *routing.Table
-	before []*routing.Table
-	bodies map[uint64][]byte
+	mu       sync.Mutex
+	table    *routing.Table
+	previous []*routing.Table
+	bodies   map[uint64][]byte
 }
 
-// body returns the encoded delta from a version to a table; from nothing where that version
-// is not known any more.
-func (e *tableEncoder) body(table *routing.Table, inForce uint64) ([]byte, error) {
+// body returns the encoded delta from a version to a table. If the version is not available, the
+// delta starts from the empty table.
+func (e *tableEncoder) body(table *routing.Table, version uint64) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.take(table)
+	e.setTable(table)
 	from := emptyTable
-	if i := slices.IndexFunc(e.before, func(t *routing.Table) bool { return t.Version == inForce }); i >= 0 {
-		from = e.before[i]
+	if i := slices.IndexFunc(e.previous, func(t *routing.Table) bool { return t.Version == version }); i >= 0 {
+		from = e.previous[i]
 	}
 	if body, ok := e.bodies[from.Version]; ok {
 		return body, nil
@@ -49,69 +47,67 @@
 	return body, err
 }
 
-// take notes the table in force.
-func (e *tableEncoder) take(table *routing.Table) {
+// setTable sets the current table.
+func (e *tableEncoder) setTable(table *routing.Table) {
 	if e.table == table {
 		return
 	}
 	if e.table != nil {
-		e.before = append(e.before, e.table)
-		e.before = e.before[max(0, len(e.before)-tablesKept):]
+		e.previous = append(e.previous, e.table)
+		e.previous = e.previous[max(0, len(e.previous)-maxPreviousTables):]
 	}
 	e.table, e.bodies = table, make(map[uint64][]byte)
 }
 
-// listsKept bounds the encoded lists and changes of one revision: boxes that checked the store at
-// different times name as many revisions that they know.
-const listsKept = 16
+// maxEncodedLists limits the cached encodings of one revision. Requesters that checked the store
+// at different times ask for changes since different revisions.
+const maxEncodedLists = 16
 
-// encodedList is the list of servers as it is sent.
+// encodedList is an encoded server list.
 type encodedList struct {
-	// revision is up to where it is known, changed where it changed last.
+	// revision is the revision of the list, changed that of its last change.
 	revision, changed uint64
-	// since is the revision from which on the body holds changes; zero where it holds the whole.
+	// since is the revision from which the body holds changes, or zero for the full list.
 	since uint64
 	body  []byte
 }
 
-// listEncoder encodes the newest list of servers once for each revision from which it is asked for.
+// listEncoder encodes the newest server list and caches the encodings by base revision.
 type listEncoder struct {
 	mu       sync.Mutex
 	revision uint64
 	lists    map[uint64]encodedList
 }
 
-// lists is where the newest list is had from.
-type lists interface {
+// listSource provides the newest server list.
+type listSource interface {
 	ListSince(since uint64) (directory.ListCopy, bool)
 	ListCopy() directory.ListCopy
 }
 
-// from returns the encoded list to who knows it at a revision, zero for not at all: what has changed,
-// or the whole where that is not known. It is copied only where the one of this revision is not encoded
-// yet, one copy at a time: a copy for each of 984 boxes that asked at once took 2.2 MB each while the
-// first one was encoded. The whole is encoded once for all, from whatever revision they ask: encoded for
-// each, it took the sender so long that they read the store, 20,900 calls on a day that has 4,700.
-func (e *listEncoder) from(since, revision uint64, l lists) (encodedList, error) {
+// get returns the encoded changes since a revision, or the full list if these are not available. A
+// since of zero requests the full list. Concurrent requests share one copy and one encoding of the
+// list, which bounds memory and time when many boxes ask at once.
+func (e *listEncoder) get(since, revision uint64, source listSource) (encodedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if list, ok := e.kept(since, revision); ok {
+	if list, ok := e.lookup(since, revision); ok {
 		return list, nil
 	}
-	if c, ok := l.ListSince(since); ok {
+	if c, ok := source.ListSince(since); ok {
 		body, err := encode(c.Delta.Events)
-		return e.keep(encodedList{revision: c.Revision, changed: c.Changed, since: since, body: body}, err)
+		return e.store(encodedList{revision: c.Revision, changed: c.Changed, since: since, body: body}, err)
 	}
-	if list, ok := e.kept(0, revision); ok {
+	if list, ok := e.lookup(0, revision); ok {
 		return list, nil
 	}
-	c := l.ListCopy()
+	c := source.ListCopy()
 	body, err := encode(c.Servers)
-	return e.keep(encodedList{revision: c.Revision, changed: c.Changed, body: body}, err)
+	return e.store(encodedList{revision: c.Revision, changed: c.Changed, body: body}, err)
 }
 
-// kept is what is encoded for who knows the list at a revision, if it is new enough.
-func (e *listEncoder) kept(since, revision uint64) (encodedList, bool) {
+// lookup returns the cached encoding for a base revision, if it is recent enough.
+func (e *listEncoder) lookup(since, revision uint64) (encodedList, bool) {
 	if e.revision < revision {
 		return encodedList{}, false
 	}
@@ -119,23 +115,23 @@
 	return list, ok
 }
 
-// keep keeps an encoded list as long as it is the newest.
-func (e *listEncoder) keep(list encodedList, err error) (encodedList, error) {
+// store caches an encoded list and drops those of older revisions.
+func (e *listEncoder) store(list encodedList, err error) (encodedList, error) {
 	if err != nil {
 		return encodedList{}, err
 	}
-	if e.revision != list.revision || len(e.lists) >= listsKept {
-		whole, ok := e.kept(0, list.revision)
+	if e.revision != list.revision || len(e.lists) >= maxEncodedLists {
+		full, ok := e.lookup(0, list.revision)
 		e.revision, e.lists = list.revision, make(map[uint64]encodedList)
 		if ok {
-			e.lists[0] = whole
+			e.lists[0] = full
 		}
 	}
 	e.lists[list.since] = list
 	return list, nil
 }
 
-// boxEncoder encodes the boxes that there are once for each revision at which they were read.
+// boxEncoder encodes the roster and caches the encoding.
 type boxEncoder struct {
 	mu       sync.Mutex
 	revision uint64
@@ -156,8 +152,7 @@
 	return body, err
 }
 
-// encode writes a value as JSON, compressed: names of routes and servers have much in
-// common, and links between boxes are slow.
+// encode encodes a value as gzip-compressed JSON.
 func encode(value any) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -171,11 +166,11 @@
 	return b.Bytes(), err
 }
 
-// decode reads what encode wrote.
+// decode decodes the output of encode.
 func decode(r io.Reader, value any) error {
 	z, err := gzip.NewReader(r)
 	if err != nil {
 		return err
 	}
-	return json.NewDecoder(io.LimitReader(z, bodyMost)).Decode(value)
+	return json.NewDecoder(io.LimitReader(z, maxBodyBytes)).Decode(value)
 }
--- a/pkg/snapshot/encode_test.go
+++ b/pkg/snapshot/encode_test.go
@@ -12,14 +12,14 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// fixedLists is a list at a revision, of which the changes since some revisions are known.
-type fixedLists struct {
+// fakeListSource is a server list whose changes are available from some revision on.
+type fakeListSource struct {
 	revision, from uint64
 	servers        []routing.Server
 	copies         int
 }
 
-func (f *fixedLists) ListSince(since uint64) (directory.ListCopy, bool) {
+func (f *fakeListSource) ListSince(since uint64) (directory.ListCopy, bool) {
 	if since < f.from {
 		return directory.ListCopy{}, false
 	}
@@ -27,52 +27,52 @@
 	return directory.ListCopy{Revision: f.revision, Delta: d}, true
 }
 
-func (f *fixedLists) ListCopy() directory.ListCopy {
+func (f *fakeListSource) ListCopy() directory.ListCopy {
 	f.copies++
 	return directory.ListCopy{Revision: f.revision, Servers: f.servers}
 }
 
-// What is encoded for many askers that know different revisions is bounded.
+// The number of cached encodings is bounded even if many revisions are requested.
 func TestEncodedChangesAreBounded(t *testing.T) {
 	var e listEncoder
-	l := &fixedLists{revision: 1000, from: 1}
-	for since := range uint64(10 * listsKept) {
-		list, err := e.from(since+1, 1000, l)
+	l := &fakeListSource{revision: 1000, from: 1}
+	for since := range uint64(10 * maxEncodedLists) {
+		list, err := e.get(since+1, 1000, l)
 		require.NoError(t, err)
 		assert.Equal(t, since+1, list.since)
 	}
-	assert.LessOrEqual(t, len(e.lists), listsKept)
+	assert.LessOrEqual(t, len(e.lists), maxEncodedLists)
 	assert.Zero(t, l.copies)
 }
 
-// The whole list is copied and encoded once for all who can't be told what has changed, whatever they
-// know, also beside many who can.
+// The full list is copied and encoded once for all revisions without available changes, also if
+// many changes are requested in between.
 func TestWholeListIsEncodedOnce(t *testing.T) {
 	var e listEncoder
-	l := &fixedLists{revision: 1000, from: 500, servers: listOf(3)}
+	l := &fakeListSource{revision: 1000, from: 500, servers: listOf(3)}
 	for since := range uint64(900) {
-		list, err := e.from(since, 1000, l)
+		list, err := e.get(since, 1000, l)
 		require.NoError(t, err)
 		assert.Equal(t, since >= l.from, list.since == since && since > 0)
 	}
 	for since := range uint64(400) {
-		_, err := e.from(since, 1000, l)
+		_, err := e.get(since, 1000, l)
 		require.NoError(t, err)
 	}
 	assert.Equal(t, 1, l.copies)
 }
 
-// Boxes that ask for the same list at once cost one copy of it, however many they are.
+// Concurrent requests for the same list share one copy.
 func TestOneCopyForAllThatAsk(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(5000), revision: 9})
-	allocated := func(askers int) uint64 {
+	allocated := func(requests int) uint64 {
 		s := NewServer(ServerDeps{Directory: d, Logger: log.NewNopLogger()})
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		var wg conc.WaitGroup
-		for range askers {
+		for range requests {
 			wg.Go(func() {
-				_, err := s.serveList(t.Context(), question{least: 9})
+				_, err := s.serveList(t.Context(), request{minRevision: 9})
 				assert.NoError(t, err)
 			})
 		}
@@ -81,20 +81,20 @@
 		return after.TotalAlloc - before.TotalAlloc
 	}
 	one := allocated(1)
-	for _, askers := range []int{50, 100} {
-		assert.Less(t, allocated(askers), 2*one, "%d askers", askers)
+	for _, requests := range []int{50, 100} {
+		assert.Less(t, allocated(requests), 2*one, "%d requests", requests)
 	}
 }
 
-// The newest list is sent, also where an older one is encoded.
+// A cached list is replaced by a newer one.
 func TestNewestListIsSent(t *testing.T) {
 	var e listEncoder
 	for _, revision := range []uint64{5, 6} {
-		list, err := e.from(0, revision, &fixedLists{revision: revision, from: 100})
+		list, err := e.get(0, revision, &fakeListSource{revision: revision, from: 100})
 		require.NoError(t, err)
 		assert.Equal(t, revision, list.revision)
 	}
-	list, err := e.from(0, 5, &fixedLists{revision: 7, from: 100})
+	list, err := e.get(0, 5, &fakeListSource{revision: 7, from: 100})
 	require.NoError(t, err)
-	assert.Equal(t, uint64(6), list.revision, "what is encoded is new enough")
+	assert.Equal(t, uint64(6), list.revision, "the cached list is recent enough")
 }
--- a/pkg/snapshot/server.go
+++ b/pkg/snapshot/server.go
@@ -18,176 +18,179 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// Server serves what this box knows.
+// Server serves snapshots of this box.
 type Server struct {
-	directory *directory.Directory
-	known     func(netip.Addr) bool
-	stranger  func()
-	logger    log.Logger
-	boxes     func() (roster.Snapshot, bool)
-	table     tableEncoder
-	list      listEncoder
-	roster    boxEncoder
+	directory     *directory.Directory
+	isPeerHost    func(netip.Addr) bool
+	onUnknownHost func()
+	logger        log.Logger
+	boxes         func() (roster.Snapshot, bool)
+	table         tableEncoder
+	list          listEncoder
+	roster        boxEncoder
 }
 
-// ServerDeps are what a Server is built on.
+// ServerDeps are the dependencies of a Server.
 type ServerDeps struct {
 	Directory *directory.Directory
-	// IsPeerHost tells whether an IP is that of another box: nobody else is told anything.
+	// IsPeerHost reports whether an IP address belongs to another box. Requests from other
+	// addresses are rejected.
 	IsPeerHost func(netip.Addr) bool
-	// OnUnknownHost is told that somebody else has asked, who may be a box that has just been
-	// added. It must not block.
+	// OnUnknownHost is called for a request from any other address, which may be a box that was
+	// just added. It must not block.
 	OnUnknownHost func()
-	// Boxes are those that there are; false while only some are known.
+	// Boxes returns the roster. It returns false while the roster is incomplete.
 	Boxes  func() (roster.Snapshot, bool)
 	Logger log.Logger
 }
 
-// NewServer returns a server.
+// NewServer returns a Server.
 func NewServer(d ServerDeps) *Server {
-	return &Server{directory: d.Directory, known: d.IsPeerHost, stranger: d.OnUnknownHost, boxes: d.Boxes, logger: d.Logger}
+	return &Server{directory: d.Directory, isPeerHost: d.IsPeerHost, onUnknownHost: d.OnUnknownHost, boxes: d.Boxes, logger: d.Logger}
 }
 
-// Handler returns the server's handler.
+// Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler {
 	routes := httprouter.New()
-	routes.GET(pathTable, s.forBoxes(s.serveTable))
-	routes.GET(pathServers, s.forBoxes(s.serveList))
-	routes.GET(pathBoxes, s.forBoxes(s.serveBoxes))
+	routes.GET(pathTable, s.handle(s.serveTable))
+	routes.GET(pathServers, s.handle(s.serveList))
+	routes.GET(pathBoxes, s.handle(s.serveBoxes))
 	return routes
 }
 
-// question is what another box asks.
-type question struct {
-	least, inForce uint64
-	// since is the revision at which the asker knows the list of servers.
+// request holds the parameters of a request.
+type request struct {
+	// minRevision is the minimum revision of the response, tableVersion the version of the
+	// requester's table, or zero for none.
+	minRevision, tableVersion uint64
+	// since is the revision of the requester's server list, or zero for none.
 	since uint64
 	wait  time.Duration
 }
 
-func readQuestion(r *http.Request) (question, error) {
+func parseRequest(r *http.Request) (request, error) {
 	values := r.URL.Query()
-	least, err1 := strconv.ParseUint(values.Get(keyLeast), 10, 64)
-	inForce, err2 := strconv.ParseUint(values.Get(keyInForce), 10, 64)
-	wait, err3 := strconv.ParseUint(values.Get(keyWait), 10, 32)
-	// Boxes of earlier builds do not say what they know: they are sent the whole.
-	since, err := strconv.ParseUint(values.Get(keySince), 10, 64)
+	minRevision, err1 := strconv.ParseUint(values.Get(paramMinRevision), 10, 64)
+	tableVersion, err2 := strconv.ParseUint(values.Get(paramTableVersion), 10, 64)
+	wait, err3 := strconv.ParseUint(values.Get(paramWait), 10, 32)
+	// Boxes with older builds do not send this parameter and get the full list.
+	since, err := strconv.ParseUint(values.Get(paramSince), 10, 64)
 	if err != nil {
 		since = 0
 	}
-	return question{
-		least: least, inForce: inForce, since: since, wait: min(time.Duration(wait)*time.Millisecond, waitMost),
+	return request{
+		minRevision: minRevision, tableVersion: tableVersion, since: since, wait: min(time.Duration(wait)*time.Millisecond, maxWait),
 	}, errors.Join(err1, err2, err3)
 }
 
-// answer is a part as it is sent.
-type answer struct {
-	known
-	// body is nil where the asker has it already.
+// response is a response to be written.
+type response struct {
+	metadata
+	// body is nil if the requester's data is current.
 	body []byte
 }
 
-// forBoxes answers questions of other boxes.
-func (s *Server) forBoxes(serve func(context.Context, question) (answer, error)) httprouter.Handle {
+// handle returns an HTTP handler that accepts requests from peers only.
+func (s *Server) handle(serve func(context.Context, request) (response, error)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		q, err := readQuestion(r)
+		req, err := parseRequest(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), q.wait)
+		ctx, cancel := context.WithTimeout(r.Context(), req.wait)
 		defer cancel()
-		if !s.awaitKnown(ctx, r.RemoteAddr) {
-			if _, whole := s.boxes(); !whole {
-				// This box may hear of the asker yet.
+		if !s.awaitPeer(ctx, r.RemoteAddr) {
+			if _, complete := s.boxes(); !complete {
+				// The requester may be a peer that is not known yet.
 				w.Header().Set(headerLoading, "1")
 			}
 			w.WriteHeader(http.StatusForbidden)
 			return
 		}
-		a, err := serve(ctx, q)
+		resp, err := serve(ctx, req)
 		if err != nil {
-			_ = level.Debug(s.logger).Log("msg", "snapshot not served", "path", r.URL.Path, "to", r.RemoteAddr, "least", q.least, "err", err)
+			_ = level.Debug(s.logger).Log("msg", "snapshot request failed", "path", r.URL.Path, "to", r.RemoteAddr, "least", req.minRevision, "err", err)
 			if errors.Is(err, directory.ErrLoading) {
 				w.Header().Set(headerLoading, "1")
 			}
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		a.write(w.Header())
-		if a.body == nil {
+		resp.write(w.Header())
+		if resp.body == nil {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-		_, err = w.Write(a.body)
-		_ = level.Debug(s.logger).Log("msg", "snapshot served", "path", r.URL.Path, "to", r.RemoteAddr, "least", q.least, "revision", a.revision, "bytes", len(a.body), "err", err)
+		w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
+		_, err = w.Write(resp.body)
+		_ = level.Debug(s.logger).Log("msg", "snapshot served", "path", r.URL.Path, "to", r.RemoteAddr, "least", req.minRevision, "revision", resp.revision, "bytes", len(resp.body), "err", err)
 	}
 }
 
-// knownStep is how often this box looks whether it knows an asker by now.
-const knownStep = 50 * time.Millisecond
+// peerPollInterval is how often awaitPeer and serveBoxes check the roster.
+const peerPollInterval = 50 * time.Millisecond
 
-// awaitKnown waits until an asker is known to be a box; false if it is not when ctx ends. Where many
-// boxes start at once, those asked may hear of the asker a moment later.
-func (s *Server) awaitKnown(ctx context.Context, remote string) bool {
-	if s.isBox(remote) {
+// awaitPeer waits until the remote address is that of a peer, as other boxes may start at the same
+// time. It returns false if ctx ends first.
+func (s *Server) awaitPeer(ctx context.Context, remote string) bool {
+	if s.isPeer(remote) {
 		return true
 	}
-	s.stranger()
+	s.onUnknownHost()
 	for ctx.Err() == nil {
-		pause.For(ctx, knownStep)
-		if s.isBox(remote) {
+		pause.For(ctx, peerPollInterval)
+		if s.isPeer(remote) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Server) isBox(remote string) bool {
+func (s *Server) isPeer(remote string) bool {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		return false
 	}
 	ip, err := netip.ParseAddr(host)
-	return err == nil && s.known(ip)
+	return err == nil && s.isPeerHost(ip)
 }
 
-func (s *Server) serveTable(ctx context.Context, q question) (answer, error) {
-	c, err := s.directory.TableCopy(ctx, q.least)
+func (s *Server) serveTable(ctx context.Context, req request) (response, error) {
+	c, err := s.directory.TableCopy(ctx, req.minRevision)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	a := answer{known: known{revision: c.Revision, changed: c.Changed, age: time.Since(c.Read)}}
-	if q.inForce == c.Table.Version {
-		return a, nil
+	resp := response{metadata: metadata{revision: c.Revision, changed: c.Changed, age: time.Since(c.Read)}}
+	if req.tableVersion == c.Table.Version {
+		return resp, nil
 	}
-	a.body, err = s.table.body(c.Table, q.inForce)
-	return a, err
+	resp.body, err = s.table.body(c.Table, req.tableVersion)
+	return resp, err
 }
 
-func (s *Server) serveList(ctx context.Context, q question) (answer, error) {
-	head, err := s.directory.ListHead(ctx, q.least)
+func (s *Server) serveList(ctx context.Context, req request) (response, error) {
+	listMetadata, err := s.directory.ListHead(ctx, req.minRevision)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	list, err := s.list.from(q.since, head.Revision, s.directory)
-	a := answer{body: list.body}
-	a.known = known{revision: list.revision, changed: max(head.Changed, list.changed), age: time.Since(head.Read), evacuations: head.Evacuations, since: list.since}
-	return a, err
+	list, err := s.list.get(req.since, listMetadata.Revision, s.directory)
+	resp := response{body: list.body}
+	resp.metadata = metadata{revision: list.revision, changed: max(listMetadata.Changed, list.changed), age: time.Since(listMetadata.Read), evacuations: listMetadata.Evacuations, since: list.since}
+	return resp, err
 }
 
-// serveBoxes serves the boxes that there are, once this box has read all of them.
-func (s *Server) serveBoxes(ctx context.Context, _ question) (answer, error) {
+// serveBoxes serves the roster once it is complete.
+func (s *Server) serveBoxes(ctx context.Context, _ request) (response, error) {
 	for {
-		c, whole := s.boxes()
-		if whole {
+		c, complete := s.boxes()
+		if complete {
 			body, err := s.roster.body(c)
-			return answer{known: known{revision: c.Revision, changed: c.Revision}, body: body}, err
+			return response{metadata: metadata{revision: c.Revision, changed: c.Revision}, body: body}, err
 		}
 		if ctx.Err() != nil {
-			return answer{}, directory.ErrLoading
+			return response{}, directory.ErrLoading
 		}
-		pause.For(ctx, knownStep)
+		pause.For(ctx, peerPollInterval)
 	}
 }
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -48,12 +48,11 @@
 	return list
 }
 
-// source is what a box that serves others has read of the store.
+// source is a directory.Source with fixed contents.
 type source struct {
-	table    *routing.Table
-	servers  []routing.Server
-	revision uint64
-	// evacuations are the halls whose servers get nothing.
+	table       *routing.Table
+	servers     []routing.Server
+	revision    uint64
 	evacuations directory.Evacuations
 }
 
@@ -79,14 +78,14 @@
 	return directory.ServerChanges{}, ctx.Err()
 }
 
-// follow runs a directory with a source until the test ends.
-func follow(t *testing.T, s directory.Source, n directory.Providers) *directory.Directory {
+// follow runs a directory that follows a source until the test ends.
+func follow(t *testing.T, s directory.Source, providers directory.Providers) *directory.Directory {
 	d := directory.New(log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		d.Follow(ctx, directory.Following{
-			Source: s, Providers: n, Reader: func() bool { return false },
+			Source: s, Providers: providers, Reader: func() bool { return false },
 			Timing: directory.Timing{Wait: time.Second, Answer: time.Second, Lag: time.Second, Backoff: time.Millisecond, BackoffMost: 10 * time.Millisecond},
 		})
 		close(done)
@@ -98,21 +97,21 @@
 	return d
 }
 
-// box serves what a directory knows. It counts who was not known.
+// box is a snapshot server. It counts the requests of unknown hosts.
 type box struct {
-	address   string
-	strangers atomic.Int32
-	known     atomic.Bool
-	// partial says that it knows only some boxes.
-	partial atomic.Bool
+	address      string
+	unknownHosts atomic.Int32
+	known        atomic.Bool
+	// rosterIncomplete is set if the box does not know all boxes.
+	rosterIncomplete atomic.Bool
 }
 
 func serve(t *testing.T, d *directory.Directory) *box {
 	b := &box{}
 	b.known.Store(true)
 	s := NewServer(ServerDeps{
-		Directory: d, Logger: log.NewNopLogger(), OnUnknownHost: func() { b.strangers.Add(1) },
-		Boxes:      func() (roster.Snapshot, bool) { return roster.Snapshot{}, !b.partial.Load() },
+		Directory: d, Logger: log.NewNopLogger(), OnUnknownHost: func() { b.unknownHosts.Add(1) },
+		Boxes:      func() (roster.Snapshot, bool) { return roster.Snapshot{}, !b.rosterIncomplete.Load() },
 		IsPeerHost: func(ip netip.Addr) bool { return b.known.Load() && ip.IsLoopback() },
 	})
 	server := httptest.NewServer(s.Handler())
@@ -131,10 +130,10 @@
 	return d
 }
 
-func TestBoxHasWhatAnotherHas(t *testing.T) {
+func TestSnapshotsAreForwarded(t *testing.T) {
 	s := &source{table: tableOf(7, 300), servers: listOf(400), revision: 9}
 	first := loaded(t, s)
-	// The second asks the first, the third the second: none of them asks the source.
+	// The second box asks the first, the third asks the second. Neither has a source.
 	second := follow(t, nil, client(time.Second, serve(t, first).address))
 	third := follow(t, nil, client(time.Second, serve(t, second).address))
 	require.Eventually(t, third.Loaded, 10*time.Second, time.Millisecond)
@@ -151,8 +150,8 @@
 	assert.WithinDuration(t, first.View().TableRead, table.Read, 5*time.Second)
 }
 
-// A box that has an earlier version is told only what has changed since.
-func TestChangesAreSentWhereTheyAreKnown(t *testing.T) {
+// A box that has an earlier version of the table gets a delta.
+func TestTableDeltaIsSent(t *testing.T) {
 	var e tableEncoder
 	old, next := tableOf(1, 2000), tableOf(2, 1)
 	whole, err := e.body(old, 0)
@@ -165,23 +164,23 @@
 	var d routing.Delta
 	require.NoError(t, decode(strings.NewReader(string(delta)), &d))
 	assert.Equal(t, uint64(1), d.From)
-	got, err := applied(old, d, "box")
+	got, err := applyDelta(old, d, "box")
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), got.Version)
 	unknown, err := e.body(next, 99)
 	require.NoError(t, err)
 	d = routing.Delta{}
 	require.NoError(t, decode(strings.NewReader(string(unknown)), &d))
-	assert.Zero(t, d.From, "from nothing")
-	_, err = applied(old, d, "box")
+	assert.Zero(t, d.From, "delta from the empty table")
+	_, err = applyDelta(old, d, "box")
 	assert.NoError(t, err)
 	d.Digest++
-	_, err = applied(old, d, "box")
+	_, err = applyDelta(old, d, "box")
 	var damaged *DamagedError
 	assert.ErrorAs(t, err, &damaged)
 }
 
-// Who is no box is told nothing, and may be one that has just been added.
+// Requests of unknown hosts are rejected and reported, since they may come from a new box.
 func TestStrangersAreToldNothing(t *testing.T) {
 	b := serve(t, loaded(t, &source{table: tableOf(7, 3), servers: listOf(1), revision: 9}))
 	b.known.Store(false)
@@ -189,31 +188,31 @@
 	var status *StatusError
 	require.ErrorAs(t, err, &status)
 	assert.Equal(t, http.StatusForbidden, status.Status)
-	assert.Equal(t, int32(1), b.strangers.Load())
+	assert.Equal(t, int32(1), b.unknownHosts.Load())
 }
 
-// Boxes that are gone, silent, behind or damaged are passed over.
+// The next box is asked if one is unreachable, unresponsive, behind or sends invalid data.
 func TestNextBoxIsAsked(t *testing.T) {
 	good := serve(t, loaded(t, &source{table: tableOf(7, 3), servers: listOf(2), revision: 9}))
 	behind := serve(t, directory.New(log.NewNopLogger()))
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer silent.Close()
-	garbled := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		known{revision: 99, changed: 9}.write(w.Header())
-		_, _ = io.WriteString(w, "no part")
+	invalid := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		metadata{revision: 99, changed: 9}.write(w.Header())
+		_, _ = io.WriteString(w, "garbage")
 	}))
-	defer garbled.Close()
+	defer invalid.Close()
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		known{revision: 3, changed: 3}.write(w.Header())
+		metadata{revision: 3, changed: 3}.write(w.Header())
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer old.Close()
-	killed := halfServed(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
+	killed := servePartially(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 	for name, address := range map[string]string{
-		"killed while it sends": killed,
-		"gone":                  "127.0.0.1:1", "behind": behind.address, "silent": silent.Addr().String(),
-		"damaged": strings.TrimPrefix(garbled.URL, "http://"), "old": strings.TrimPrefix(old.URL, "http://"),
+		"killed while sending": killed,
+		"gone":                 "127.0.0.1:1", "behind": behind.address, "silent": silent.Addr().String(),
+		"damaged": strings.TrimPrefix(invalid.URL, "http://"), "old": strings.TrimPrefix(old.URL, "http://"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := client(300*time.Millisecond, address, good.address)
@@ -228,12 +227,12 @@
 	assert.ErrorIs(t, err, directory.ErrNoProvider)
 }
 
-// halfServed is a box that sends half of a list and then does something.
-func halfServed(t *testing.T, then func(http.ResponseWriter)) string {
+// servePartially runs a box that sends half of a list and then calls a function.
+func servePartially(t *testing.T, then func(http.ResponseWriter)) string {
 	body, err := encode(listOf(400))
 	require.NoError(t, err)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		known{revision: 99, changed: 9}.write(w.Header())
+		metadata{revision: 99, changed: 9}.write(w.Header())
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
@@ -243,73 +242,72 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A box that freezes while it sends is given up soon: the source is to be asked.
+// A response that stalls is aborted soon.
 func TestBoxThatFreezesWhileItSendsIsGivenUp(t *testing.T) {
 	end := make(chan struct{})
-	frozen := halfServed(t, func(http.ResponseWriter) { <-end })
+	frozen := servePartially(t, func(http.ResponseWriter) { <-end })
 	defer close(end)
-	begun := time.Now()
+	started := time.Now()
 	_, err := client(300*time.Millisecond, frozen).Servers(t.Context(), 0, 9)
 	var stalled *stall.Error
 	require.ErrorAs(t, err, &stalled)
 	assert.True(t, stalled.Started)
-	assert.Less(t, time.Since(begun), 5*time.Second)
+	assert.Less(t, time.Since(started), 5*time.Second)
 }
 
-// A box that gives no answer is asked last for a while; one that is only behind is not.
+// A box that does not respond is asked last for some time. An error status counts as a response.
 func TestSilentBoxesAreAskedLast(t *testing.T) {
 	c := client(time.Second, "a", "b", "c")
-	c.note("a", io.ErrUnexpectedEOF)
-	c.note("b", &StatusError{Address: "b", Status: http.StatusServiceUnavailable})
-	assert.Equal(t, []string{"b", "c", "a"}, c.inOrder())
-	c.silent["a"] = time.Now().Add(-passedOver)
-	assert.Equal(t, []string{"a", "b", "c"}, c.inOrder())
-	c.note("b", io.ErrUnexpectedEOF)
-	c.note("b", nil)
-	assert.Equal(t, []string{"a", "b", "c"}, c.inOrder())
+	c.recordResult("a", io.ErrUnexpectedEOF)
+	c.recordResult("b", &StatusError{Address: "b", Status: http.StatusServiceUnavailable})
+	assert.Equal(t, []string{"b", "c", "a"}, c.orderedAddresses())
+	c.unresponsive["a"] = time.Now().Add(-unresponsivePeriod)
+	assert.Equal(t, []string{"a", "b", "c"}, c.orderedAddresses())
+	c.recordResult("b", io.ErrUnexpectedEOF)
+	c.recordResult("b", nil)
+	assert.Equal(t, []string{"a", "b", "c"}, c.orderedAddresses())
 }
 
 func FuzzAnswers(f *testing.F) {
 	body, err := encode(routing.Diff(emptyTable, tableOf(3, 2)))
 	require.NoError(f, err)
 	f.Add(body, "3", "2", "0")
-	f.Add([]byte("no part"), "x", "", "-1")
+	f.Add([]byte("garbage"), "x", "", "-1")
 	for _, table := range formstest.Recorded(f, "table.gz") {
 		f.Add(table, "3", "2", "0")
 	}
 	f.Fuzz(func(t *testing.T, body []byte, revision, changed, age string) {
 		h := http.Header{headerRevision: {revision}, headerChanged: {changed}, headerAge: {age}}
-		if k, ok := readKnown(h); ok {
-			assert.LessOrEqual(t, k.changed, k.revision)
-			assert.GreaterOrEqual(t, k.age, time.Duration(0))
+		if m, ok := parseMetadata(h); ok {
+			assert.LessOrEqual(t, m.changed, m.revision)
+			assert.GreaterOrEqual(t, m.age, time.Duration(0))
 		}
 		var d routing.Delta
 		if decode(strings.NewReader(string(body)), &d) == nil {
-			_, _ = applied(emptyTable, d, "box")
+			_, _ = applyDelta(emptyTable, d, "box")
 		}
 	})
 }
 
-// BenchmarkTableBytes is what a table takes between boxes. A route takes 270 bytes in the
-// store's answers.
+// BenchmarkTableBytes reports the encoded size of a table.
 func BenchmarkTableBytes(b *testing.B) {
-	for _, n := range []int{100, 4000, 20000} {
-		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			table := tableOf(1, n)
+	for _, routes := range []int{100, 4000, 20000} {
+		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
+			table := tableOf(1, routes)
 			for b.Loop() {
 				var e tableEncoder
 				body, err := e.body(table, 0)
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(len(body))/float64(n), "B/route")
+				b.ReportMetric(float64(len(body))/float64(routes), "B/route")
 			}
 		})
 	}
 }
 
-// A box that knows the list at an earlier revision is sent what has changed alone, and which halls
-// are evacuated; one of an earlier build, which does not say what it knows, is sent the whole.
+// A box that has an earlier revision of the list gets the changes and the evacuated halls. A request
+// of an older build, which lacks the revision, gets the full list.
 func TestChangesOfTheListAreSent(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(2000), revision: 9, evacuations: directory.Evacuations{Halls: []string{"hall, 1"}, Revision: 9}})
 	changed := routing.Server{ID: "i-0001", Service: "calls", Address: "192.0.2.1:1", Leaving: true}
@@ -335,7 +333,7 @@
 	assert.Len(t, whole, 2000)
 }
 
-// slowSource takes its time for the first list.
+// slowSource delays reads of the list.
 type slowSource struct {
 	*source
 	after time.Duration
@@ -348,8 +346,8 @@
 	return s.source.ReadServers(ctx, from, stale)
 }
 
-// Boxes that start together wait for the first one, which reads a long list, longer than they would
-// wait for an answer: they do not read it for themselves.
+// Boxes that start together wait for the one that is reading the list instead of reading it
+// themselves, even if that takes longer than the response timeout.
 func TestStartingBoxesWaitForTheOneThatReads(t *testing.T) {
 	s := &slowSource{source: &source{table: tableOf(7, 3), servers: listOf(10), revision: 9}, after: 700 * time.Millisecond}
 	address := serve(t, follow(t, s, client(0))).address
@@ -361,58 +359,58 @@
 	assert.Equal(t, int32(1), s.reads.Load())
 }
 
-// A box that can't read is not waited for.
+// A box whose reads fail is not waited for.
 func TestBoxThatFailsIsNotWaitedFor(t *testing.T) {
-	address := serve(t, follow(t, brokenSource{}, client(0))).address
+	address := serve(t, follow(t, failingSource{}, client(0))).address
 	time.Sleep(50 * time.Millisecond)
-	begun := time.Now()
+	started := time.Now()
 	_, err := client(100*time.Millisecond, address).Servers(t.Context(), 0, 0)
 	assert.Error(t, err)
-	assert.Less(t, time.Since(begun), firstLeast/2)
+	assert.Less(t, time.Since(started), minStartupWait/2)
 }
 
-// brokenSource answers nothing well.
-type brokenSource struct{ directory.Source }
+// failingSource fails every read.
+type failingSource struct{ directory.Source }
 
-var errBroken = errors.New("the source is broken")
+var errSourceFailed = errors.New("source failed")
 
-func (brokenSource) ReadTable(context.Context) (directory.TableRead, error) {
-	return directory.TableRead{}, errBroken
+func (failingSource) ReadTable(context.Context) (directory.TableRead, error) {
+	return directory.TableRead{}, errSourceFailed
 }
 
-func (brokenSource) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
-	return directory.ServersPage{}, errBroken
+func (failingSource) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
+	return directory.ServersPage{}, errSourceFailed
 }
 
-func (brokenSource) ReadEvacuations(context.Context) (directory.Evacuations, error) {
-	return directory.Evacuations{}, errBroken
+func (failingSource) ReadEvacuations(context.Context) (directory.Evacuations, error) {
+	return directory.Evacuations{}, errSourceFailed
 }
 
-// A box that knows only some others may hear of the asker yet: it is asked again.
-func TestBoxThatIsNotKnownYetAsksAgain(t *testing.T) {
+// A request is retried if it is rejected by a box whose roster is incomplete.
+func TestRejectionByIncompleteRosterIsRetried(t *testing.T) {
 	b := serve(t, loaded(t, &source{table: tableOf(7, 3), servers: listOf(2), revision: 9}))
 	b.known.Store(false)
-	b.partial.Store(true)
+	b.rosterIncomplete.Store(true)
 	time.AfterFunc(400*time.Millisecond, func() { b.known.Store(true) })
 	list, err := client(100*time.Millisecond, b.address).Servers(t.Context(), 0, 0)
 	require.NoError(t, err)
 	assert.Len(t, list.Servers, 2)
 }
 
-// slowChange tells one change after a while.
-type slowChange struct {
+// slowChangeSource delivers one change after a delay.
+type slowChangeSource struct {
 	*source
 	after time.Duration
-	// reads counts how often the table was read.
+	// reads is the number of reads of the table.
 	reads atomic.Int32
 }
 
-func (s *slowChange) WatchServers(context.Context, uint64, time.Duration) (directory.ServerChanges, error) {
+func (s *slowChangeSource) WatchServers(context.Context, uint64, time.Duration) (directory.ServerChanges, error) {
 	time.Sleep(s.after)
 	return directory.ServerChanges{Events: []directory.ServerEvent{{Server: routing.Server{ID: "new"}}}, Revision: 12}, nil
 }
 
-func (s *slowChange) ReadTable(ctx context.Context) (directory.TableRead, error) {
+func (s *slowChangeSource) ReadTable(ctx context.Context) (directory.TableRead, error) {
 	if s.reads.Add(1) == 1 {
 		return s.source.ReadTable(ctx)
 	}
@@ -420,25 +418,26 @@
 	return directory.TableRead{Table: tableOf(8, 3), Revision: 12, Changed: 12}, nil
 }
 
-// boxReadingChanges is a box that takes a while to read a change of each part.
-func boxReadingChanges(t *testing.T) *directory.Directory {
-	d := follow(t, &slowChange{source: &source{table: tableOf(7, 3), servers: listOf(2), revision: 9}, after: 180 * time.Millisecond}, client(0))
+// slowChangeDirectory returns a directory that takes some time to read a change of the table and
+// of the list.
+func slowChangeDirectory(t *testing.T) *directory.Directory {
+	d := follow(t, &slowChangeSource{source: &source{table: tableOf(7, 3), servers: listOf(2), revision: 9}, after: 180 * time.Millisecond}, client(0))
 	require.Eventually(t, d.Loaded, 10*time.Second, time.Millisecond)
 	return d
 }
 
-// A box that lacks a new table waits some more for one that is reading it.
+// A request for a new table is retried while the other box is reading it.
 func TestTableIsAwaitedWhereItIsBeingRead(t *testing.T) {
-	d := boxReadingChanges(t)
+	d := slowChangeDirectory(t)
 	d.Noticed(directory.Notice{TableChanged: 12})
 	c, err := client(100*time.Millisecond, serve(t, d).address).Table(t.Context(), tableOf(7, 3), 12)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(8), c.Table.Version)
 }
 
-// A box that lacks a change waits some more for one that is reading it.
+// A request for a change of the list is retried while the other box is reading it.
 func TestChangeIsAwaitedWhereItIsBeingRead(t *testing.T) {
-	d := boxReadingChanges(t)
+	d := slowChangeDirectory(t)
 	d.Noticed(directory.Notice{ServersChanged: 12})
 	list, err := client(100*time.Millisecond, serve(t, d).address).Servers(t.Context(), 9, 12)
 	require.NoError(t, err)
