--- /dev/null
+++ b/pkg/gateway/buffer.go
@@ -0,0 +1,61 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+)
+
+// minReadStep and maxReadStep limit the memory reserved per read of a buffered response. Each step
+// doubles the buffer within them, as most responses have some hundred bytes.
+const (
+	minReadStep = 1 << 10
+	maxReadStep = 64 << 10
+)
+
+// reserve reserves n bytes for a caller and reports whether the box's limit allows it. Without it,
+// callers that read slowly could make the box run out of memory.
+func (g *Gateway) reserve(n int64) bool {
+	if g.heldBytes.Add(n) <= g.Limits.MaxHeldBytes {
+		return true
+	}
+	g.heldBytes.Add(-n)
+	return false
+}
+
+// HeldBytes returns the memory held for callers: request bodies and buffered responses.
+func (g *Gateway) HeldBytes() int64 { return g.heldBytes.Load() }
+
+// bufferResponse reads a response into memory that stays reserved until the request ends. It
+// returns the part read and false if the response is too long or the box has no memory left.
+func (x *exchange) bufferResponse(r io.Reader) (body []byte, complete bool, err error) {
+	for len(body) <= maxBufferedBytes {
+		step := min(max(len(body), minReadStep), maxReadStep)
+		if !x.gateway.reserve(int64(step)) {
+			return body, false, nil
+		}
+		x.reservedBytes += int64(step)
+		body, err = readAppend(body, r, step)
+		switch {
+		case errors.Is(err, io.EOF):
+			return body, true, nil
+		case err != nil:
+			return body, false, err
+		}
+	}
+	return body, false, nil
+}
+
+// readAppend appends n bytes of a reader to a slice, or fewer and the read error. It does not use
+// io.ReadFull, which can't distinguish a truncated response from a complete one.
+func readAppend(buf []byte, r io.Reader, n int) ([]byte, error) {
+	start := len(buf)
+	buf = append(buf, make([]byte, n)...)
+	for read := 0; read < n; {
+		m, err := r.Read(buf[start+read:])
+		read += m
+		if err != nil {
+			return buf[:start+read], err
+		}
+	}
+	return buf, nil
+}
--- /dev/null
+++ b/pkg/gateway/response.go
@@ -0,0 +1,141 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"maps"
+	"mime"
+	"net/http"
+	"strconv"
+	"time"
+
+	"headhill.example/headhill/pkg/balancer"
+	"headhill.example/headhill/pkg/clock"
+	"headhill.example/headhill/pkg/upstream"
+)
+
+const (
+	// maxBufferedBytes is the maximum size of a response that is buffered before it is forwarded.
+	// Longer responses are streamed.
+	maxBufferedBytes = 512 << 10
+	// maxDrainBytes is how much of an unwanted response is read to keep its connection reusable.
+	maxDrainBytes = 64 << 10
+	// callerWriteTimeout is the timeout of one write to the caller.
+	callerWriteTimeout = 10 * time.Second
+
+	eventStreamType = "text/event-stream"
+)
+
+// bufferedResponse is a response that has been read completely.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+func isStream(r *upstream.Response) bool {
+	kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
+	return kind == eventStreamType && r.Status == http.StatusOK
+}
+
+// drain discards the rest of a short response, so that its connection can be reused.
+func drain(r *upstream.Response) {
+	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDrainBytes))
+	r.Close(err == nil && n < maxDrainBytes)
+}
+
+// forwardBuffered reads the whole response before it forwards any of it, so that a truncated
+// response never reaches the caller.
+func (x *exchange) forwardBuffered(resp *upstream.Response, lease *balancer.Lease) (*failure, error) {
+	x.recordStart(x.attemptStart)
+	body, complete, err := x.bufferResponse(resp.Body)
+	if err != nil {
+		resp.Close(false)
+		return &failure{result: balancer.ResultFailed, disconnected: true, cause: err}, nil
+	}
+	lease.PrefillDone(clock.Now())
+	if !complete {
+		return x.forwardUnbuffered(resp, body)
+	}
+	resp.Close(true)
+	buffered := &bufferedResponse{status: resp.Status, header: resp.Header, body: body}
+	if resp.Status >= http.StatusInternalServerError || x.headSent {
+		return &failure{result: resultOfStatus(resp.Status), cause: errors.New("server answered " + strconv.Itoa(resp.Status)), response: buffered}, nil
+	}
+	return nil, x.sendBuffered(buffered)
+}
+
+// resultOfStatus maps an error status to the result reported to the balancer. A 504 is no server
+// failure: the time left for the request was too short.
+func resultOfStatus(status int) balancer.Result {
+	if status == http.StatusGatewayTimeout {
+		return balancer.ResultAbandoned
+	}
+	return balancer.ResultFailed
+}
+
+// sendBuffered sends a buffered response to the caller.
+func (x *exchange) sendBuffered(resp *bufferedResponse) error {
+	copyHeader(x.writer.Header(), resp.header)
+	x.writer.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
+	x.writeHead(resp.status)
+	if _, err := x.writer.Write(resp.body); err != nil {
+		return &callerGoneError{Cause: err}
+	}
+	return nil
+}
+
+// forwardUnbuffered streams a response that is too long to be buffered, or for which the box has no
+// memory left. head is the part read so far.
+func (x *exchange) forwardUnbuffered(resp *upstream.Response, head []byte) (*failure, error) {
+	copyHeader(x.writer.Header(), resp.Header)
+	if resp.Length >= 0 {
+		x.writer.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
+	}
+	x.writeHead(resp.Status)
+	if _, err := x.writer.Write(head); err != nil {
+		resp.Close(false)
+		return nil, &callerGoneError{Cause: err}
+	}
+	buffer := make([]byte, 32<<10)
+	for {
+		n, err := resp.Body.Read(buffer)
+		x.extendWriteDeadline()
+		if _, writeErr := x.writer.Write(buffer[:n]); writeErr != nil {
+			resp.Close(false)
+			return nil, &callerGoneError{Cause: writeErr}
+		}
+		if err == io.EOF {
+			resp.Close(true)
+			return nil, nil
+		}
+		if err != nil {
+			resp.Close(false)
+			return nil, &truncatedError{Cause: err}
+		}
+	}
+}
+
+// writeHead sends the status and header of the response to the caller.
+func (x *exchange) writeHead(status int) {
+	x.headSent = true
+	x.status = status
+	x.extendWriteDeadline()
+	x.writer.WriteHeader(status)
+}
+
+// extendWriteDeadline restarts the timeout for writes to the caller.
+func (x *exchange) extendWriteDeadline() {
+	// Response writers of tests don't support deadlines.
+	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
+}
+
+// copyHeader copies the end-to-end headers and suppresses those that net/http would add by default.
+func copyHeader(to, from http.Header) {
+	maps.Copy(to, upstream.EndToEndHeader(from))
+	for _, name := range []string{"Content-Type", "Date"} {
+		if _, ok := from[name]; !ok {
+			to[name] = nil
+		}
+	}
+}
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -89,7 +89,7 @@
 		if hasBody {
 			table, err = applyDelta(current, delta, address)
 		}
-		return directory.TableCopy{Table: table, Revision: m.revision, Changed: m.changed, Read: time.Now().Add(-m.age)}, err
+		return directory.TableCopy{Table: table, Revision: m.revision, Changed: m.changed, ConfirmedAt: time.Now().Add(-m.age)}, err
 	})
 }
 
@@ -121,7 +121,7 @@
 			err = &DamagedError{Address: address, Reason: "no server list in body"}
 		}
 		list.Revision, list.Changed, list.Evacuations = m.revision, m.changed, m.evacuations
-		list.Read = time.Now().Add(-m.age)
+		list.ConfirmedAt = time.Now().Add(-m.age)
 		return list, err
 	})
 }
@@ -277,8 +277,8 @@
 	if !ok || m.revision < q.minRevision {
 		return metadata{}, false, &DamagedError{Address: address, Reason: "headers missing or invalid, or revision too old"}
 	}
-	if path != pathBoxes && !forms.Whole(m.level) {
-		return metadata{}, false, &OlderBuildError{Address: address, Level: forms.Of(m.level)}
+	if path != pathBoxes && !forms.Complete(m.level) {
+		return metadata{}, false, &OlderBuildError{Address: address, Level: forms.EffectiveLevel(m.level)}
 	}
 	if resp.StatusCode == http.StatusNoContent {
 		return m, false, nil
--- a/pkg/snapshot/server.go
+++ b/pkg/snapshot/server.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	resp := response{metadata: metadata{revision: c.Revision, changed: c.Changed, age: time.Since(c.Read)}}
+	resp := response{metadata: metadata{revision: c.Revision, changed: c.Changed, age: time.Since(c.ConfirmedAt)}}
 	if req.tableVersion == c.Table.Version {
 		return resp, nil
 	}
@@ -170,13 +170,13 @@
 }
 
 func (s *Server) serveList(ctx context.Context, req request) (response, error) {
-	listMetadata, err := s.directory.ListHead(ctx, req.minRevision)
+	listMetadata, err := s.directory.ListMetadata(ctx, req.minRevision)
 	if err != nil {
 		return response{}, err
 	}
 	list, err := s.list.get(req.since, listMetadata.Revision, s.directory)
 	resp := response{body: list.body}
-	resp.metadata = metadata{revision: list.revision, changed: max(listMetadata.Changed, list.changed), age: time.Since(listMetadata.Read), evacuations: listMetadata.Evacuations, since: list.since}
+	resp.metadata = metadata{revision: list.revision, changed: max(listMetadata.Changed, list.changed), age: time.Since(listMetadata.ConfirmedAt), evacuations: listMetadata.Evacuations, since: list.since}
 	return resp, err
 }
 
