--- a/pkg/announce/announce.go
+++ b/pkg/announce/announce.go
@@ -1,8 +1,7 @@
-// Package announce shares among the boxes what one of them has read of the store:
-// that nothing has changed, or what has. One box asks the store for its revision and
-// tells the others by datagram, which spares them the question. A box that hears
-// nothing asks for itself, so that a lost datagram or a cut costs one call more and
-// no correctness.
+// Package announce distributes the results of store checks among boxes. One box polls the
+// store for its revision and announces the result and recent changes to the others by
+// datagram, which saves them the call. A box that receives no announcement checks the store
+// itself, so a lost datagram or a network partition costs extra calls but not correctness.
 package announce
 
 import (
@@ -25,73 +24,71 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Timing says how often the store is checked.
+// Timing configures how often the store is checked.
 type Timing struct {
-	// Interval is the least time between checks, Stagger what is added so that mostly one box
-	// asks.
+	// Interval is the minimum time between checks. Stagger is the range over which the checks
+	// of different boxes are spread after that, so that usually only one box checks.
 	Interval time.Duration
 	Stagger  time.Duration
 }
 
-// Deps are what a Checker is built on.
+// Deps are the dependencies of a Checker.
 type Deps struct {
 	Port   *datagram.Port
 	Timing func() Timing
-	// Check asks the store. It returns false if there was no answer.
+	// Check queries the store. It returns false if the store did not respond.
 	Check func(context.Context) (directory.Check, bool)
-	// RefreshRoster looks who else is there, which costs less than a check. It returns whether that
-	// made any box known.
+	// RefreshRoster reads part of the roster, which is cheaper than a check. It reports whether
+	// the number of known boxes has grown.
 	RefreshRoster func(context.Context) bool
-	// Peers are the addresses of the other boxes.
+	// Peers returns the addresses of the other boxes.
 	Peers func() []*net.UDPAddr
-	// Rank is this box's place in the order in which boxes check, on which those that know
-	// the same others agree; zero for the first.
+	// Rank returns the index of this box in the order in which boxes check. Boxes with the
+	// same roster agree on it.
 	Rank      func() int
 	Directory *directory.Directory
 	Logger    log.Logger
 }
 
-// kind marks the datagrams of this package.
+// kind is the datagram kind of announcements.
 const kind = "announce"
 
-// Checker checks the store by turns with its peers.
+// Checker takes turns with its peers to check the store.
 type Checker struct {
 	Deps
-	heard chan message
-	// unknown is told when a box that is not a peer yet is heard.
-	unknown chan struct{}
+	inbox chan message
+	// unknownSender signals a datagram from a box that is not in the roster yet.
+	unknownSender chan struct{}
 }
 
-// New returns a checker.
+// New returns a Checker and registers its handlers on the port and the directory.
 func New(d Deps) *Checker {
-	c := &Checker{Deps: d, heard: make(chan message, 64), unknown: make(chan struct{}, 1)}
-	d.Directory.OnNotification(c.tellNotice)
+	c := &Checker{Deps: d, inbox: make(chan message, 64), unknownSender: make(chan struct{}, 1)}
+	d.Directory.OnNotification(c.announceNotification)
 	d.Port.Handle(kind, c.receive)
 	d.Port.OnUnknownSender(c.RequestRosterRefresh)
 	return c
 }
 
-// message is one announcement: a check, or a notice of a change. Boxes need not agree
-// on the time of day, so it carries an age.
+// message is an announcement of a check or a change. It carries ages instead of times, since
+// wall clocks differ between boxes.
 type message struct {
-	// Level is that of the forms that the sender reads.
+	// Level is the forms level that the sender reads.
 	Level int           `json:"level,omitempty"`
 	Check *checkMessage `json:"check,omitempty"`
 	Delta *deltaMessage `json:"delta,omitempty"`
-	// TableChanged is the revision of a table that a box has just seen, Table what has
-	// changed in it.
+	// TableChanged is the revision of a new table, Table the delta that leads to it.
 	TableChanged uint64         `json:"table_changed,omitempty"`
 	Table        *routing.Delta `json:"table,omitempty"`
-	// ServersChanged is the revision of a list that a box has just seen, where what has
-	// changed in it is too long to be told.
+	// ServersChanged is the revision of a new server list whose delta is too long to send.
 	ServersChanged uint64 `json:"servers_changed,omitempty"`
-	// Evacuations are all halls that are evacuated, read at the time of the check or just now.
+	// Evacuations lists all evacuated halls.
 	Evacuations *evacuationsMessage `json:"evacuations,omitempty"`
 
 	received time.Time
 }
 
-// evacuationsMessage tells all halls that are evacuated, and how long ago the store said so.
+// evacuationsMessage lists all evacuated halls, and the time since they were read from the store.
 type evacuationsMessage struct {
 	directory.Evacuations
 	AgeMillis int64 `json:"age_ms"`
@@ -111,94 +108,94 @@
 }
 
 const (
-	// flight is how long a datagram is assumed to be on its way at the most.
-	flight  = 50 * time.Millisecond
-	ageMost = 10 * time.Second
-	// unknownPause is the least time between two looks for boxes that are not known yet.
-	unknownPause = 2 * time.Second
+	// maxTransitTime is the assumed maximum time between sending and receiving a datagram.
+	maxTransitTime = 50 * time.Millisecond
+	// maxAge is the maximum accepted age of a check.
+	maxAge = 10 * time.Second
+	// minRosterRefreshInterval is the minimum time between two refreshes of the roster.
+	minRosterRefreshInterval = 2 * time.Second
 )
 
-// Run checks until ctx ends. Messages are taken in also while a check is under way.
+// Run checks the store until ctx ends. Messages are handled while a check is in progress.
 func (c *Checker) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	t := turns{timer: time.NewTimer(c.next()), ended: make(chan struct{}, 1)}
-	grown := make(chan struct{}, 1)
+	t := schedule{timer: time.NewTimer(c.untilNextCheck()), checkDone: make(chan struct{}, 1)}
+	rosterGrown := make(chan struct{}, 1)
 	defer t.timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-c.heard:
-			if c.take(m) {
-				t.timer.Reset(c.next())
+		case m := <-c.inbox:
+			if c.handle(m) {
+				t.timer.Reset(c.untilNextCheck())
 			}
-		case <-c.unknown:
-			if t.beginLook() {
-				wg.Go(func() { c.look(ctx, grown) })
+		case <-c.unknownSender:
+			if t.beginRosterRefresh() {
+				wg.Go(func() { c.refreshRoster(ctx, rosterGrown) })
 			}
-		case <-grown:
-			// Who was not known until now is checking the store.
-			t.timer.Reset(c.next())
+		case <-rosterGrown:
+			// The box that was discovered is checking the store.
+			t.timer.Reset(c.untilNextCheck())
 		case <-t.timer.C:
-			if t.begin() {
+			if t.beginCheck() {
 				wg.Go(func() {
 					c.checkOnce(ctx)
-					t.ended <- struct{}{}
+					t.checkDone <- struct{}{}
 				})
 			}
-		case <-t.ended:
+		case <-t.checkDone:
 			t.checking = false
-			t.timer.Reset(c.next())
+			t.timer.Reset(c.untilNextCheck())
 		}
 	}
 }
 
-// take takes a message in. It returns true for a check, which spares this box its
-// own. A box that reads less of the store than this one only says that something has changed, and
-// has not looked for all that this one acts on.
-func (c *Checker) take(m message) bool {
-	whole := forms.Complete(m.Level)
-	if !whole {
-		m = m.brief()
+// handle processes a message. It returns true for a check that replaces the next one of this box.
+// A sender with a lower forms level does not read everything that this box does, so its deltas are
+// ignored and its checks do not replace those of this box.
+func (c *Checker) handle(m message) bool {
+	complete := forms.Complete(m.Level)
+	if !complete {
+		m = m.withoutDeltas()
 	}
-	c.Directory.ApplyNotification(m.notice())
+	c.Directory.ApplyNotification(m.notification())
 	if m.Check == nil {
 		return false
 	}
 	age := time.Duration(m.Check.AgeMillis) * time.Millisecond
 	c.Directory.ApplyCheck(directory.Check{
-		AskedAt: m.received.Add(-age - flight), Revision: m.Check.Revision,
+		AskedAt: m.received.Add(-age - maxTransitTime), Revision: m.Check.Revision,
 		TableChanged: m.Check.TableChanged, ServersChanged: m.Check.ServersChanged,
 	})
-	return whole
+	return complete
 }
 
-// notice is what a message tells of changes.
-func (m message) notice() directory.Notification {
+// notification returns the changes announced by a message.
+func (m message) notification() directory.Notification {
 	n := directory.Notification{TableChanged: m.TableChanged, TableDelta: m.Table, ServersChanged: m.ServersChanged}
 	if m.Delta != nil {
 		n.ServersDelta = &directory.Delta{From: m.Delta.From, To: m.Delta.To, Events: m.Delta.Events}
 	}
 	if m.Evacuations != nil {
 		age := time.Duration(m.Evacuations.AgeMillis) * time.Millisecond
-		n.Evacuations, n.EvacuationsAskedAt = &m.Evacuations.Evacuations, m.received.Add(-age-flight)
+		n.Evacuations, n.EvacuationsAskedAt = &m.Evacuations.Evacuations, m.received.Add(-age-maxTransitTime)
 	}
 	return n
 }
 
-// lookSpread is the time over which the looks of many boxes are spread that have heard of the
-// same one.
-const lookSpread = 200 * time.Millisecond
+// rosterRefreshJitter spreads the roster refreshes of boxes that discover the same box.
+const rosterRefreshJitter = 200 * time.Millisecond
 
-// look looks who else is there, and tells whether any box is known now that was not.
-func (c *Checker) look(ctx context.Context, grown chan<- struct{}) {
-	pause.For(ctx, rand.N(lookSpread))
+// refreshRoster refreshes the roster after a random delay and signals if it has grown.
+func (c *Checker) refreshRoster(ctx context.Context, rosterGrown chan<- struct{}) {
+	pause.For(ctx, rand.N(rosterRefreshJitter))
 	if ctx.Err() != nil || !c.RefreshRoster(ctx) {
 		return
 	}
 	select {
-	case grown <- struct{}{}:
+	case rosterGrown <- struct{}{}:
 	default:
 	}
 }
@@ -208,23 +205,23 @@
 	if !ok {
 		return
 	}
-	c.tellCheck(check)
-	// Whoever loses what is told asks for itself: of hundreds there would always be some.
-	pause.For(ctx, repeatAfter)
-	c.tellCheck(check)
+	c.announceCheck(check)
+	// Repeated because every box that misses the announcement checks the store itself.
+	pause.For(ctx, repeatDelay)
+	c.announceCheck(check)
 }
 
-// repeatAfter is when a check is told once more.
-const repeatAfter = 30 * time.Millisecond
+// repeatDelay is the time after which a check is announced again.
+const repeatDelay = 30 * time.Millisecond
 
-func (c *Checker) tellCheck(check directory.Check) {
-	c.tell(message{Check: &checkMessage{
+func (c *Checker) announceCheck(check directory.Check) {
+	c.broadcast(message{Check: &checkMessage{
 		AgeMillis: clock.Since(check.AskedAt).Milliseconds(), Revision: check.Revision,
 		TableChanged: check.TableChanged, ServersChanged: check.ServersChanged,
 	}, Evacuations: c.evacuations()})
 }
 
-// evacuations tells what this box knows of evacuated halls; nil if it knows nothing yet.
+// evacuations returns the evacuated halls, or nil if they are not known yet.
 func (c *Checker) evacuations() *evacuationsMessage {
 	e := c.Directory.Evacuations()
 	if e.Revision == 0 {
@@ -234,7 +231,7 @@
 	return &evacuationsMessage{Evacuations: e, AgeMillis: age.Milliseconds()}
 }
 
-func (c *Checker) tellNotice(n directory.Notification) {
+func (c *Checker) announceNotification(n directory.Notification) {
 	m := message{TableChanged: n.TableChanged, Table: n.TableDelta}
 	if n.Evacuations != nil {
 		m.Evacuations = c.evacuations()
@@ -242,26 +239,26 @@
 	if n.ServersDelta != nil {
 		m.Delta = &deltaMessage{From: n.ServersDelta.From, To: n.ServersDelta.To, Events: n.ServersDelta.Events}
 	}
-	c.tell(m)
+	c.broadcast(m)
 }
 
-// tell sends a message to all other boxes. One that is lost makes its receiver ask for
-// itself, and so does a change that is too long for a datagram.
-func (c *Checker) tell(m message) {
+// broadcast sends a message to all other boxes. Deltas are omitted if the message is too long for
+// a datagram, in which case the receivers fetch the change.
+func (c *Checker) broadcast(m message) {
 	m.Level = forms.Level
 	if !c.send(m) {
-		c.send(m.brief())
+		c.send(m.withoutDeltas())
 	}
 }
 
-// send returns false if a message is too long.
+// send sends a message to all peers. It returns false if the message is too long.
 func (c *Checker) send(m message) bool {
 	body, err := json.Marshal(m)
 	return err == nil && c.Port.Send(kind, body, c.Peers()...)
 }
 
-// brief is a message without what has changed: only that it has.
-func (m message) brief() message {
+// withoutDeltas returns the message with deltas replaced by revisions.
+func (m message) withoutDeltas() message {
 	if m.Delta != nil {
 		m.ServersChanged = m.Delta.To
 	}
@@ -269,7 +266,7 @@
 	return m
 }
 
-// receive takes a datagram in. While the checker is busy more are dropped.
+// receive queues an announcement for Run. It is dropped if the queue is full.
 func (c *Checker) receive(d datagram.Message) {
 	m, err := parse(d)
 	if err != nil {
@@ -277,30 +274,30 @@
 		return
 	}
 	select {
-	case c.heard <- m:
+	case c.inbox <- m:
 	default:
 	}
 }
 
-// RequestRosterRefresh makes this box look again which boxes there are, soon.
+// RequestRosterRefresh schedules a refresh of the roster.
 func (c *Checker) RequestRosterRefresh() {
 	select {
-	case c.unknown <- struct{}{}:
+	case c.unknownSender <- struct{}{}:
 	default:
 	}
 }
 
-// errImpossible is a message that no box can have meant.
-var errImpossible = errors.New("its ages or revisions make no sense")
+// errInvalid is returned for a message with an invalid age or revision.
+var errInvalid = errors.New("age or revision out of range")
 
-// parse reads a message.
+// parse decodes and validates a message.
 func parse(d datagram.Message) (message, error) {
 	m := message{received: d.Received}
 	if err := json.Unmarshal(d.Body, &m); err != nil {
 		return m, err
 	}
 	if !m.valid() {
-		return m, errImpossible
+		return m, errInvalid
 	}
 	return m, nil
 }
@@ -309,5 +306,5 @@
 	if m.Evacuations != nil && (m.Evacuations.AgeMillis < 0 || m.Evacuations.Revision == 0) {
 		return false
 	}
-	return m.Check == nil || m.Check.AgeMillis >= 0 && m.Check.AgeMillis <= ageMost.Milliseconds()
+	return m.Check == nil || m.Check.AgeMillis >= 0 && m.Check.AgeMillis <= maxAge.Milliseconds()
 }
--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -30,14 +30,14 @@
 	return c
 }
 
-// port believes the addresses of a list.
+// port returns a port whose peers are the known addresses.
 func port(conn net.PacketConn, known ...*net.UDPAddr) *datagram.Port {
 	return datagram.NewPort(datagram.Deps{Conn: conn, Logger: log.NewNopLogger(), IsPeer: func(a netip.AddrPort) bool {
 		return slices.ContainsFunc(known, func(k *net.UDPAddr) bool { return k.AddrPort() == a })
 	}})
 }
 
-// group is some checkers that know each other.
+// group counts the checks of connected checkers.
 type group struct {
 	mu     sync.Mutex
 	checks []int
@@ -53,7 +53,7 @@
 	return n
 }
 
-// withGroup runs n checkers; those that deaf names hear nothing of the others.
+// withGroup runs n checkers. Those in deaf receive no announcements.
 func withGroup(t *testing.T, n int, deaf map[int]bool, f func(*group)) {
 	g := &group{checks: make([]int, n)}
 	conns := make([]*net.UDPConn, n)
@@ -96,32 +96,32 @@
 func TestOneBoxChecksForMany(t *testing.T) {
 	withGroup(t, 12, nil, func(g *group) {
 		time.Sleep(2 * time.Second)
-		// Alone, each would check about 27 times.
+		// Without announcements, each box would check about 27 times.
 		assert.Less(t, g.total(), 12*27/2)
 		assert.GreaterOrEqual(t, g.total(), 12)
-		assert.Greater(t, g.checks[0], g.total()/2, "mostly the first box")
+		assert.Greater(t, g.checks[0], g.total()/2, "most checks are made by the first box")
 	})
 }
 
-// Turns come in order, also where the first boxes are gone.
-func TestTurnsComeInOrder(t *testing.T) {
+// Boxes with fixed turns check in the order of their rank, all others after them.
+func TestTurnsFollowRank(t *testing.T) {
 	rank := 0
 	c := checker(t)
 	c.Rank = func() int { return rank }
 	c.Timing = func() Timing { return Timing{Interval: time.Second, Stagger: time.Second} }
 	last := time.Duration(0)
-	for ; rank < firstBoxes; rank++ {
-		assert.Greater(t, c.next(), last)
-		last = c.next()
+	for ; rank < fixedTurns; rank++ {
+		assert.Greater(t, c.untilNextCheck(), last)
+		last = c.untilNextCheck()
 	}
 	assert.Less(t, last, 1500*time.Millisecond)
 	for range 100 {
-		assert.GreaterOrEqual(t, c.next(), 1500*time.Millisecond)
-		assert.LessOrEqual(t, c.next(), 2*time.Second)
+		assert.GreaterOrEqual(t, c.untilNextCheck(), 1500*time.Millisecond)
+		assert.LessOrEqual(t, c.untilNextCheck(), 2*time.Second)
 	}
 }
 
-func TestBoxThatHearsNothingChecksForItself(t *testing.T) {
+func TestBoxWithoutAnnouncementsChecks(t *testing.T) {
 	withGroup(t, 6, map[int]bool{5: true}, func(g *group) {
 		require.Eventually(t, func() bool {
 			g.mu.Lock()
@@ -138,17 +138,16 @@
 	})
 }
 
-// A box that was started beside others is not in their rosters yet.
-func TestUnknownBoxMakesTheOthersLook(t *testing.T) {
-	c, stranger := checker(t), listen(t)
+// An announcement of a box that is not in the roster yet triggers a roster refresh.
+func TestUnknownSenderTriggersRosterRefresh(t *testing.T) {
+	c, unknown := checker(t), listen(t)
 	go c.Port.Listen()
-	port(stranger).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
-	require.Eventually(t, func() bool { return len(c.unknown) == 1 }, 10*time.Second, time.Millisecond)
-	assert.Empty(t, c.heard, "it is not believed")
+	port(unknown).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
+	require.Eventually(t, func() bool { return len(c.unknownSender) == 1 }, 10*time.Second, time.Millisecond)
+	assert.Empty(t, c.inbox, "the announcement is dropped")
 }
 
-// A check may wait for the store, or for a large table. What others tell meanwhile must
-// not wait for it.
+// Messages must be handled while a check is in progress, since a check may take long.
 func TestChangesAreTakenInDuringACheck(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	checking := make(chan struct{})
@@ -166,17 +165,17 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
 	<-checking
-	c.heard <- message{Check: &checkMessage{Revision: 1}}
-	require.Eventually(t, func() bool { return len(c.heard) == 0 }, 10*time.Second, time.Millisecond)
+	c.inbox <- message{Check: &checkMessage{Revision: 1}}
+	require.Eventually(t, func() bool { return len(c.inbox) == 0 }, 10*time.Second, time.Millisecond)
 	time.Sleep(20 * time.Millisecond)
 	cancel()
 	wg.Wait()
 }
 
-// A box that hears of one that it did not know looks who is there, and spares itself the
-// check: that one is checking.
-func TestBoxThatHearsAStrangerLooksAndDoesNotCheck(t *testing.T) {
-	stranger := listen(t)
+// A box that discovers a new box refreshes the roster and postpones its own check, since the new
+// box is checking.
+func TestDiscoveredBoxPostponesCheck(t *testing.T) {
+	unknown := listen(t)
 	var looks, checks atomic.Int32
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
@@ -194,18 +193,17 @@
 	wg.Go(func() { c.Run(ctx) })
 	wg.Go(c.Port.Listen)
 	time.Sleep(700 * time.Millisecond)
-	port(stranger).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
+	port(unknown).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	require.Eventually(t, func() bool { return looks.Load() == 1 }, 10*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
-	assert.Zero(t, checks.Load(), "its own check waits anew")
+	assert.Zero(t, checks.Load(), "the check is postponed")
 	require.Eventually(t, func() bool { return checks.Load() > 0 }, 10*time.Second, time.Millisecond)
 	cancel()
 	c.Port.Conn.Close()
 	wg.Wait()
 }
 
-// A change of the list that is too long for a datagram is told without what it holds:
-// the others ask for it.
+// A change of the list that is too long for a datagram is announced by its revision only.
 func TestLongChangeOfTheListIsTold(t *testing.T) {
 	other := listen(t)
 	c := checker(t, other.LocalAddr().(*net.UDPAddr))
@@ -213,30 +211,30 @@
 	for i := range 500 {
 		delta.Events = append(delta.Events, directory.ServerEvent{Server: routing.Server{ID: fmt.Sprintf("i-%08d", i), Service: "calls"}})
 	}
-	c.tellNotice(directory.Notification{ServersDelta: delta})
-	told := make(chan message, 1)
+	c.announceNotification(directory.Notification{ServersDelta: delta})
+	received := make(chan message, 1)
 	p := port(other, c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	p.Handle(kind, func(d datagram.Message) {
 		m, err := parse(d)
 		assert.NoError(t, err)
-		told <- m
+		received <- m
 	})
 	go p.Listen()
 	select {
-	case m := <-told:
+	case m := <-received:
 		assert.Equal(t, uint64(9), m.ServersChanged)
 		assert.Nil(t, m.Delta)
 	case <-time.After(10 * time.Second):
-		t.Error("nothing was told")
+		t.Error("no announcement was received")
 	}
 }
 
-func TestImpossibleAgesAreDropped(t *testing.T) {
-	for _, age := range []int64{-1, ageMost.Milliseconds() + 1} {
+func TestInvalidAgesAreRejected(t *testing.T) {
+	for _, age := range []int64{-1, maxAge.Milliseconds() + 1} {
 		body, err := json.Marshal(message{Check: &checkMessage{AgeMillis: age}})
 		require.NoError(t, err)
 		_, err = parse(datagram.Message{Body: body})
-		assert.ErrorIs(t, err, errImpossible)
+		assert.ErrorIs(t, err, errInvalid)
 	}
 }
 
@@ -249,19 +247,18 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		c := &Checker{Deps: Deps{Directory: directory.New(log.NewNopLogger())}}
 		if m, err := parse(datagram.Message{Body: data}); err == nil {
-			c.take(m)
+			c.handle(m)
 		}
 	})
 }
 
-// What earlier builds announce is read, but a check of theirs spares nobody, and what has changed is
-// had from elsewhere.
+// Announcements of earlier builds are parsed, but their checks do not replace checks of this build.
 func TestAnnouncementsOfEarlierBuildsAreRead(t *testing.T) {
 	for name, body := range formstest.Recorded(t, "announce-*.datagram") {
 		m, err := parse(datagram.Message{Body: body})
 		require.NoError(t, err, name)
 		c := checker(t)
-		assert.Equal(t, m.Check != nil && forms.Complete(m.Level), c.take(m), name)
+		assert.Equal(t, m.Check != nil && forms.Complete(m.Level), c.handle(m), name)
 	}
 }
 
@@ -290,7 +287,7 @@
 	return directory.ServerChanges{}, ctx.Err()
 }
 
-// directoryAt is a directory that knows an empty list at a revision, and reads nothing more.
+// directoryAt returns a directory with an empty list at a revision. It is not following its source.
 func directoryAt(t *testing.T, revision uint64) *directory.Directory {
 	d := directory.New(log.NewNopLogger())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -306,15 +303,14 @@
 	return d
 }
 
-// A box of an earlier build leaves out of a server what it does not know, such as until when it warms
-// up: its word is not taken, only that something has changed.
+// A box with a lower forms level may omit fields of a server, so its deltas are ignored.
 func TestContentOfAnEarlierBuildIsNotTaken(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		level int
-		taken bool
+		name     string
+		level    int
+		accepted bool
 	}{
-		{"no level is named", 0, false},
+		{"no level", 0, false},
 		{"a lower level", forms.Level - 1, false},
 		{"the same level", forms.Level, true},
 		{"a higher level", forms.Level + 1, true},
@@ -324,8 +320,8 @@
 			checker := New(Deps{Port: port(listen(t)), Directory: d, Logger: log.NewNopLogger()})
 			added := []directory.ServerEvent{{Server: routing.Server{ID: "i-1", Service: "calls"}}}
 			m := message{Level: c.level, Check: &checkMessage{Revision: 5, ServersChanged: 5}, Delta: &deltaMessage{From: 4, To: 5, Events: added}}
-			assert.Equal(t, c.taken, checker.take(m), "it spares a check")
-			assert.Equal(t, c.taken, len(d.View().Listed("calls")) == 1, "the server is listed")
+			assert.Equal(t, c.accepted, checker.handle(m), "the check replaces the next one")
+			assert.Equal(t, c.accepted, len(d.View().Listed("calls")) == 1, "the server is listed")
 		})
 	}
 }
