--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -148,7 +148,7 @@
 }
 
 // Messages must be handled while a check is in progress, since a check may take long.
-func TestChangesAreTakenInDuringACheck(t *testing.T) {
+func TestChangesAreHandledDuringCheck(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	checking := make(chan struct{})
 	c := New(Deps{
@@ -204,7 +204,7 @@
 }
 
 // A change of the list that is too long for a datagram is announced by its revision only.
-func TestLongChangeOfTheListIsTold(t *testing.T) {
+func TestLongListDeltaIsAnnouncedByRevision(t *testing.T) {
 	other := listen(t)
 	c := checker(t, other.LocalAddr().(*net.UDPAddr))
 	delta := &directory.Delta{From: 3, To: 9}
@@ -304,7 +304,7 @@
 }
 
 // A box with a lower forms level may omit fields of a server, so its deltas are ignored.
-func TestContentOfAnEarlierBuildIsNotTaken(t *testing.T) {
+func TestDeltasOfEarlierBuildsAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		level    int
--- a/pkg/datagram/port_test.go
+++ b/pkg/datagram/port_test.go
@@ -44,7 +44,7 @@
 	return p, conn.LocalAddr().(*net.UDPAddr)
 }
 
-func TestMessagesOfKnownBoxesArrive(t *testing.T) {
+func TestMessagesOfPeersAreDelivered(t *testing.T) {
 	var known addressSet
 	sender, senderAddress := listen(t, "sender", &known)
 	receiver, receiverAddress := listen(t, "receiver", &known)
--- a/pkg/loadshare/sharer_test.go
+++ b/pkg/loadshare/sharer_test.go
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestAllBoxesKnowWherePromptsAre(t *testing.T) {
+func TestPlacementsReachAllBoxes(t *testing.T) {
 	withFleet(t, 12, 3, func(x *fleet) {
 		for i := range 200 {
 			name := fmt.Sprintf("part-%d", i)
@@ -170,7 +170,7 @@
 }
 
 // Boxes with the fastest links are chosen as relays, regardless of their names.
-func TestBoxesWithFastLinksRelay(t *testing.T) {
+func TestRelaysHaveFastestLinks(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 30 {
 		e := roster.Entry{Box: fmt.Sprintf("box-%02d", i), Hall: "hall-0", Peer: fmt.Sprintf("192.0.2.%d:1", i), LinkMbps: 10}
@@ -229,7 +229,7 @@
 	})
 }
 
-func TestRoundsCountOnceWhole(t *testing.T) {
+func TestRoundsCompleteWithAllParts(t *testing.T) {
 	all := make(loads)
 	for i := range 2*maxLoadsPerDatagram + 1 {
 		all[balancer.ServerKey(i)] = balancer.Load{Backlog: i + 1}
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -176,7 +176,7 @@
 }
 
 // Boxes with the fastest links are chosen as readers, since their data is sent to all others.
-func TestBoxesWithTheFastestLinksRead(t *testing.T) {
+func TestReadersHaveFastestLinks(t *testing.T) {
 	store := &fakeStore{entries: make(map[string]Entry)}
 	var boxes []*Roster
 	for i := range 20 {
@@ -222,7 +222,7 @@
 }
 
 // Of many boxes that start at once, only a bounded number reads all entries.
-func TestFewReadAllEntries(t *testing.T) {
+func TestFewBoxesReadAllEntries(t *testing.T) {
 	for _, n := range []int{100, 200} {
 		store := &pagedStore{fakeStore: &fakeStore{entries: make(map[string]Entry)}, page: 20}
 		boxes := make([]*Roster, n)
--- a/pkg/roster/sweep_test.go
+++ b/pkg/roster/sweep_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestBoxThatIsGoneIsTakenOut(t *testing.T) {
+func TestUnresponsiveBoxIsRemoved(t *testing.T) {
 	withSweepers(t, 5, func(store *fakeStore, sweepers []*Sweeper) {
 		s, c := sweepers[0], &clock{now: time.Now()}
 		s.now = c.time
@@ -93,7 +93,7 @@
 }
 
 // A box that receives no responses may be partitioned itself and must not remove others.
-func TestBoxThatIsCutOffTakesNobodyOut(t *testing.T) {
+func TestPartitionedBoxRemovesNoOthers(t *testing.T) {
 	withSweepers(t, 5, func(store *fakeStore, sweepers []*Sweeper) {
 		s, c := sweepers[0], &clock{now: time.Now()}
 		s.now = c.time
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestBoxThatWasTakenOutEntersAgain(t *testing.T) {
+func TestRemovedBoxRegistersAgain(t *testing.T) {
 	withSweepers(t, 3, func(store *fakeStore, sweepers []*Sweeper) {
 		delete(store.entries, "box-01")
 		for range 2 {
@@ -128,7 +128,7 @@
 
 // In a large fleet, few boxes send datagrams to the sweeping box on their own. Its pings must
 // still reach most of them, so that failed boxes are detected.
-func TestBoxThatIsGoneIsFoundAmongHundreds(t *testing.T) {
+func TestUnresponsiveBoxIsDetectedInLargeFleet(t *testing.T) {
 	for _, count := range []int{20, 300, 1700} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			entries := fleetOf(count, 5, 20)
--- a/pkg/roster/tree_test.go
+++ b/pkg/roster/tree_test.go
@@ -66,7 +66,7 @@
 
 // At startup each box sees a different part of the roster. The providers must not form a cycle,
 // or no box would read the store.
-func TestNobodyWaitsForItselfThoughAllSeeOthers(t *testing.T) {
+func TestProvidersFormNoCycle(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		entries := fleetOf(60, 3, 5)
--- a/pkg/snapshot/boxes_test.go
+++ b/pkg/snapshot/boxes_test.go
@@ -18,7 +18,7 @@
 )
 
 // A starting box fetches the roster from another box, and waits while that box is loading it.
-func TestBoxesAreHadFromAnother(t *testing.T) {
+func TestRosterIsFetchedFromPeer(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 985 {
 		entries = append(entries, roster.Entry{Box: fmt.Sprintf("box-%d", i), Hall: "hall", Peer: "192.0.2.1:1", Incarnation: uint64(i)})
--- a/pkg/snapshot/compat_test.go
+++ b/pkg/snapshot/compat_test.go
@@ -28,7 +28,7 @@
 
 // Tables and server lists recorded from earlier builds are decoded. Tables with an incompatible
 // digest are rejected.
-func TestPartsOfEarlierBuildsAreRead(t *testing.T) {
+func TestRecordedSnapshotsAreDecoded(t *testing.T) {
 	for name, body := range formstest.Recorded(t, "table.gz") {
 		var d routing.Delta
 		require.NoError(t, decode(bytes.NewReader(body), &d), name)
@@ -54,7 +54,7 @@
 }
 
 // Tables and server lists from a box with a lower forms level are rejected.
-func TestPartsOfEarlierBuildsAreNotTaken(t *testing.T) {
+func TestSnapshotsOfEarlierBuildsAreRejected(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(4), revision: 9})
 	s := NewServer(ServerDeps{
 		Directory: d, Logger: log.NewNopLogger(), IsPeerHost: func(netip.Addr) bool { return true },
--- a/pkg/snapshot/encode_test.go
+++ b/pkg/snapshot/encode_test.go
@@ -47,7 +47,7 @@
 
 // The full list is copied and encoded once for all revisions without available changes, also if
 // many changes are requested in between.
-func TestWholeListIsEncodedOnce(t *testing.T) {
+func TestFullListIsEncodedOnce(t *testing.T) {
 	var e listEncoder
 	l := &fakeListSource{revision: 1000, from: 500, servers: listOf(3)}
 	for since := range uint64(900) {
@@ -63,7 +63,7 @@
 }
 
 // Concurrent requests for the same list share one copy.
-func TestOneCopyForAllThatAsk(t *testing.T) {
+func TestConcurrentRequestsShareOneCopy(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(5000), revision: 9})
 	allocated := func(requests int) uint64 {
 		s := NewServer(ServerDeps{Directory: d, Logger: log.NewNopLogger()})
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -181,7 +181,7 @@
 }
 
 // Requests of unknown hosts are rejected and reported, since they may come from a new box.
-func TestStrangersAreToldNothing(t *testing.T) {
+func TestUnknownHostsAreRejected(t *testing.T) {
 	b := serve(t, loaded(t, &source{table: tableOf(7, 3), servers: listOf(1), revision: 9}))
 	b.known.Store(false)
 	_, err := client(time.Second, b.address).Table(t.Context(), nil, 0)
@@ -243,7 +243,7 @@
 }
 
 // A response that stalls is aborted soon.
-func TestBoxThatFreezesWhileItSendsIsGivenUp(t *testing.T) {
+func TestStalledResponseIsAborted(t *testing.T) {
 	end := make(chan struct{})
 	frozen := servePartially(t, func(http.ResponseWriter) { <-end })
 	defer close(end)
@@ -256,7 +256,7 @@
 }
 
 // A box that does not respond is asked last for some time. An error status counts as a response.
-func TestSilentBoxesAreAskedLast(t *testing.T) {
+func TestUnresponsiveBoxesAreAskedLast(t *testing.T) {
 	c := client(time.Second, "a", "b", "c")
 	c.recordResult("a", io.ErrUnexpectedEOF)
 	c.recordResult("b", &StatusError{Address: "b", Status: http.StatusServiceUnavailable})
@@ -308,7 +308,7 @@
 
 // A box that has an earlier revision of the list gets the changes and the evacuated halls. A request
 // of an older build, which lacks the revision, gets the full list.
-func TestChangesOfTheListAreSent(t *testing.T) {
+func TestListDeltaIsSent(t *testing.T) {
 	d := loaded(t, &source{table: tableOf(7, 3), servers: listOf(2000), revision: 9, evacuations: directory.Evacuations{Halls: []string{"hall, 1"}, Revision: 9}})
 	changed := routing.Server{ID: "i-0001", Service: "calls", Address: "192.0.2.1:1", Leaving: true}
 	d.ApplyDelta(directory.Delta{From: 9, To: 12, Events: []directory.ServerEvent{{Server: changed}}})
@@ -348,7 +348,7 @@
 
 // Boxes that start together wait for the one that is reading the list instead of reading it
 // themselves, even if that takes longer than the response timeout.
-func TestStartingBoxesWaitForTheOneThatReads(t *testing.T) {
+func TestStartingBoxesWaitForReadingBox(t *testing.T) {
 	s := &slowSource{source: &source{table: tableOf(7, 3), servers: listOf(10), revision: 9}, after: 700 * time.Millisecond}
 	address := serve(t, follow(t, s, client(0))).address
 	for range 8 {
@@ -360,7 +360,7 @@
 }
 
 // A box whose reads fail is not waited for.
-func TestBoxThatFailsIsNotWaitedFor(t *testing.T) {
+func TestFailingBoxIsNotAwaited(t *testing.T) {
 	address := serve(t, follow(t, failingSource{}, client(0))).address
 	time.Sleep(50 * time.Millisecond)
 	started := time.Now()
@@ -427,7 +427,7 @@
 }
 
 // A request for a new table is retried while the other box is reading it.
-func TestTableIsAwaitedWhereItIsBeingRead(t *testing.T) {
+func TestTableIsAwaitedWhileLoading(t *testing.T) {
 	d := slowChangeDirectory(t)
 	d.ApplyNotification(directory.Notification{TableChanged: 12})
 	c, err := client(100*time.Millisecond, serve(t, d).address).Table(t.Context(), tableOf(7, 3), 12)
@@ -436,7 +436,7 @@
 }
 
 // A request for a change of the list is retried while the other box is reading it.
-func TestChangeIsAwaitedWhereItIsBeingRead(t *testing.T) {
+func TestListChangeIsAwaitedWhileLoading(t *testing.T) {
 	d := slowChangeDirectory(t)
 	d.ApplyNotification(directory.Notification{ServersChanged: 12})
 	list, err := client(100*time.Millisecond, serve(t, d).address).Servers(t.Context(), 9, 12)
