--- a/pkg/announce/announce.go
+++ b/pkg/announce/announce.go
@@ -120,34 +120,34 @@
 func (c *Checker) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	t := schedule{timer: time.NewTimer(c.untilNextCheck()), checkDone: make(chan struct{}, 1)}
+	sched := schedule{timer: time.NewTimer(c.untilNextCheck()), checkDone: make(chan struct{}, 1)}
 	rosterGrown := make(chan struct{}, 1)
-	defer t.timer.Stop()
+	defer sched.timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-c.inbox:
 			if c.handle(m) {
-				t.timer.Reset(c.untilNextCheck())
+				sched.timer.Reset(c.untilNextCheck())
 			}
 		case <-c.unknownSender:
-			if t.beginRosterRefresh() {
+			if sched.beginRosterRefresh() {
 				wg.Go(func() { c.refreshRoster(ctx, rosterGrown) })
 			}
 		case <-rosterGrown:
 			// The box that was discovered is checking the store.
-			t.timer.Reset(c.untilNextCheck())
-		case <-t.timer.C:
-			if t.beginCheck() {
+			sched.timer.Reset(c.untilNextCheck())
+		case <-sched.timer.C:
+			if sched.beginCheck() {
 				wg.Go(func() {
 					c.checkOnce(ctx)
-					t.checkDone <- struct{}{}
+					sched.checkDone <- struct{}{}
 				})
 			}
-		case <-t.checkDone:
-			t.checking = false
-			t.timer.Reset(c.untilNextCheck())
+		case <-sched.checkDone:
+			sched.checking = false
+			sched.timer.Reset(c.untilNextCheck())
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		return
 	}
 	c.announceCheck(check)
-	// Repeated because every box that misses the announcement checks the store itself.
+	// The announcement is repeated, since every box that misses it checks the store itself.
 	pause.For(ctx, repeatDelay)
 	c.announceCheck(check)
 }
--- a/pkg/announce/schedule.go
+++ b/pkg/announce/schedule.go
@@ -39,19 +39,19 @@
 }
 
 // beginRosterRefresh records a refresh of the roster. It returns false if the last one is too recent.
-func (t *schedule) beginRosterRefresh() bool {
-	if clock.Since(t.lastRosterRefresh) < minRosterRefreshInterval {
+func (s *schedule) beginRosterRefresh() bool {
+	if clock.Since(s.lastRosterRefresh) < minRosterRefreshInterval {
 		return false
 	}
-	t.lastRosterRefresh = clock.Now()
+	s.lastRosterRefresh = clock.Now()
 	return true
 }
 
 // beginCheck records the start of a check. It returns false if one is in progress.
-func (t *schedule) beginCheck() bool {
-	if t.checking {
+func (s *schedule) beginCheck() bool {
+	if s.checking {
 		return false
 	}
-	t.checking = true
+	s.checking = true
 	return true
 }
--- a/pkg/loadshare/relays.go
+++ b/pkg/loadshare/relays.go
@@ -49,28 +49,28 @@
 }
 
 // recordSummary records that a relay has sent a summary.
-func (s relayHealth) recordSummary(box string) {
-	delete(s.unansweredSince, box)
-	delete(s.skipUntil, box)
+func (h relayHealth) recordSummary(box string) {
+	delete(h.unansweredSince, box)
+	delete(h.skipUntil, box)
 }
 
 // recordReport records that a report was sent to a relay.
-func (s relayHealth) recordReport(box string, now time.Time) {
-	since, waiting := s.unansweredSince[box]
+func (h relayHealth) recordReport(box string, now time.Time) {
+	since, waiting := h.unansweredSince[box]
 	switch {
 	case !waiting:
-		s.unansweredSince[box] = now
+		h.unansweredSince[box] = now
 	case now.Sub(since) > relayTimeout:
-		delete(s.unansweredSince, box)
-		s.skipUntil[box] = now.Add(relayBackoff)
+		delete(h.unansweredSince, box)
+		h.skipUntil[box] = now.Add(relayBackoff)
 	}
 }
 
 // relays returns the relays of a hall: the first members that are not in backoff.
-func (s relayHealth) relays(members []member, hall string, now time.Time) []member {
+func (h relayHealth) relays(members []member, hall string, now time.Time) []member {
 	var list []member
 	for _, m := range members {
-		if m.hall != hall || now.Before(s.skipUntil[m.box]) {
+		if m.hall != hall || now.Before(h.skipUntil[m.box]) {
 			continue
 		}
 		if list = append(list, m); len(list) == relaysPerHall {
--- a/pkg/loadshare/summary.go
+++ b/pkg/loadshare/summary.go
@@ -19,20 +19,20 @@
 }
 
 // addPlacements queues placements for the next summary.
-func (a *destination) addPlacements(list []balancer.Placement) {
-	a.placements = append(a.placements, list...)
-	a.dirty = true
+func (d *destination) addPlacements(list []balancer.Placement) {
+	d.placements = append(d.placements, list...)
+	d.dirty = true
 }
 
 // untilDue returns the time until the next summary may be sent.
-func (a *destination) untilDue(now time.Time) time.Duration { return a.interval - now.Sub(a.sentAt) }
+func (d *destination) untilDue(now time.Time) time.Duration { return d.interval - now.Sub(d.sentAt) }
 
 // due reports whether a summary has to be sent now.
-func (a *destination) due(now time.Time) bool { return a.dirty && a.untilDue(now) <= 0 }
+func (d *destination) due(now time.Time) bool { return d.dirty && d.untilDue(now) <= 0 }
 
 // markSent resets the state after a summary was sent.
-func (a *destination) markSent(interval time.Duration, now time.Time) {
-	*a = destination{sentAt: now, interval: interval}
+func (d *destination) markSent(interval time.Duration, now time.Time) {
+	*d = destination{sentAt: now, interval: interval}
 }
 
 // refreshSummaries schedules summaries to all halls if this box is a relay.
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -225,7 +225,7 @@
 	return 1
 }
 
-// Deregister takes this box out.
+// Deregister removes the entry of this box from the store.
 func (r *Roster) Deregister(ctx context.Context) {
 	ctx, cancel := stall.WithLimits(ctx, r.limits)
 	defer cancel()
--- a/pkg/roster/tree.go
+++ b/pkg/roster/tree.go
@@ -44,10 +44,10 @@
 		return nil
 	}
 	hall := slices.DeleteFunc(slices.Clone(ordered), func(e Entry) bool { return e.Hall != self.Hall })
-	at := indexOf(hall, self)
+	index := indexOf(hall, self)
 	var list []Entry
-	if at > 0 {
-		list = append(list, hall[parentIndex(hall, at)], hall[0])
+	if index > 0 {
+		list = append(list, hall[parentIndex(hall, index)], hall[0])
 	}
 	return removeDuplicates(append(list, reading...))
 }
@@ -59,11 +59,11 @@
 
 // parentIndex returns the index of the parent of the box at an index of a hall. Each box in turn
 // takes as many of the following boxes as children as its link allows.
-func parentIndex(hall []Entry, at int) int {
+func parentIndex(hall []Entry, index int) int {
 	taken := 0
-	for i := range hall[:at] {
+	for i := range hall[:index] {
 		taken += fanOut(hall[i])
-		if at <= taken {
+		if index <= taken {
 			return i
 		}
 	}
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -156,13 +156,13 @@
 
 // retryPolicy returns a function that reports whether to retry while other boxes are loading. The
 // retries are limited by count for a change, and by time for a box that has no data yet.
-func retryPolicy(minRevision uint64, rounds int) func() bool {
+func retryPolicy(minRevision uint64, retries int) func() bool {
 	if minRevision == 0 {
 		return startupRetry()
 	}
 	return func() bool {
-		rounds--
-		return rounds >= 0
+		retries--
+		return retries >= 0
 	}
 }
 
@@ -252,14 +252,14 @@
 
 // fetch sends a request to one box and decodes the body into the value returned by target. It
 // returns false if there is no body, because the requester's data is current.
-func (c *Client) fetch(ctx context.Context, address, path string, q request, target func(metadata) any) (metadata, bool, error) {
-	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: q.wait + maxRoundTrip, Idle: stallTimeout, Total: maxResponseTime})
+func (c *Client) fetch(ctx context.Context, address, path string, params request, target func(metadata) any) (metadata, bool, error) {
+	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: params.wait + maxRoundTrip, Idle: stallTimeout, Total: maxResponseTime})
 	defer cancel()
 	values := url.Values{
-		paramMinRevision:  {strconv.FormatUint(q.minRevision, 10)},
-		paramTableVersion: {strconv.FormatUint(q.tableVersion, 10)},
-		paramSince:        {strconv.FormatUint(q.since, 10)},
-		paramWait:         {strconv.FormatInt(q.wait.Milliseconds(), 10)},
+		paramMinRevision:  {strconv.FormatUint(params.minRevision, 10)},
+		paramTableVersion: {strconv.FormatUint(params.tableVersion, 10)},
+		paramSince:        {strconv.FormatUint(params.since, 10)},
+		paramWait:         {strconv.FormatInt(params.wait.Milliseconds(), 10)},
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path+"?"+values.Encode(), nil)
 	if err != nil {
@@ -274,7 +274,7 @@
 		return metadata{}, false, &StatusError{Address: address, Status: resp.StatusCode, Loading: resp.Header.Get(headerLoading) != ""}
 	}
 	m, ok := parseMetadata(resp.Header)
-	if !ok || m.revision < q.minRevision {
+	if !ok || m.revision < params.minRevision {
 		return metadata{}, false, &DamagedError{Address: address, Reason: "headers missing or invalid, or revision too old"}
 	}
 	if path != pathBoxes && !forms.Complete(m.level) {
--- a/pkg/snapshot/encode.go
+++ b/pkg/snapshot/encode.go
@@ -85,20 +85,20 @@
 	ListCopy() directory.ListCopy
 }
 
-// get returns the encoded changes since a revision, or the full list if these are not available. A
-// since of zero requests the full list. Concurrent requests share one copy and one encoding of the
-// list, which bounds memory and time when many boxes ask at once.
-func (e *listEncoder) get(since, revision uint64, source listSource) (encodedList, error) {
+// get returns the encoded changes since a revision, or the full list if these are not available or
+// since is zero. A cached encoding is used if its revision is at least minRevision. Concurrent requests
+// share one copy and one encoding of the list, which bounds memory and time when many boxes ask at once.
+func (e *listEncoder) get(since, minRevision uint64, source listSource) (encodedList, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if list, ok := e.lookup(since, revision); ok {
+	if list, ok := e.lookup(since, minRevision); ok {
 		return list, nil
 	}
 	if c, ok := source.ListSince(since); ok {
 		body, err := encode(c.Delta.Events)
 		return e.store(encodedList{revision: c.Revision, changed: c.Changed, since: since, body: body}, err)
 	}
-	if list, ok := e.lookup(0, revision); ok {
+	if list, ok := e.lookup(0, minRevision); ok {
 		return list, nil
 	}
 	c := source.ListCopy()
@@ -107,8 +107,8 @@
 }
 
 // lookup returns the cached encoding for a base revision, if it is recent enough.
-func (e *listEncoder) lookup(since, revision uint64) (encodedList, bool) {
-	if e.revision < revision {
+func (e *listEncoder) lookup(since, minRevision uint64) (encodedList, bool) {
+	if e.revision < minRevision {
 		return encodedList{}, false
 	}
 	list, ok := e.lists[since]
@@ -131,15 +131,15 @@
 	return list, nil
 }
 
-// boxEncoder encodes the roster and caches the encoding.
-type boxEncoder struct {
+// rosterEncoder encodes the roster and caches the encoding.
+type rosterEncoder struct {
 	mu       sync.Mutex
 	revision uint64
 	boxes    int
 	encoded  []byte
 }
 
-func (e *boxEncoder) body(c roster.Snapshot) ([]byte, error) {
+func (e *rosterEncoder) body(c roster.Snapshot) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.encoded != nil && e.revision == c.Revision && e.boxes == len(c.Entries) {
--- a/pkg/snapshot/server.go
+++ b/pkg/snapshot/server.go
@@ -27,7 +27,7 @@
 	boxes         func() (roster.Snapshot, bool)
 	table         tableEncoder
 	list          listEncoder
-	roster        boxEncoder
+	roster        rosterEncoder
 }
 
 // ServerDeps are the dependencies of a Server.
@@ -83,7 +83,7 @@
 	}, errors.Join(err1, err2, err3)
 }
 
-// response is a response to be written.
+// response holds the headers and the body of a response.
 type response struct {
 	metadata
 	// body is nil if the requester's data is current.
