--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -176,13 +176,13 @@
 // box is checking.
 func TestDiscoveredBoxPostponesCheck(t *testing.T) {
 	unknown := listen(t)
-	var looks, checks atomic.Int32
+	var refreshes, checks atomic.Int32
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
 		Timing:        func() Timing { return Timing{Interval: time.Second} },
 		Peers:         func() []*net.UDPAddr { return nil },
 		Rank:          func() int { return 0 },
-		RefreshRoster: func(context.Context) bool { return looks.Add(1) == 1 },
+		RefreshRoster: func(context.Context) bool { return refreshes.Add(1) == 1 },
 		Check: func(context.Context) (directory.Check, bool) {
 			checks.Add(1)
 			return directory.Check{}, false
@@ -194,7 +194,7 @@
 	wg.Go(c.Port.Listen)
 	time.Sleep(700 * time.Millisecond)
 	port(unknown).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
-	require.Eventually(t, func() bool { return looks.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return refreshes.Load() == 1 }, 10*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	assert.Zero(t, checks.Load(), "the check is postponed")
 	require.Eventually(t, func() bool { return checks.Load() > 0 }, 10*time.Second, time.Millisecond)
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -74,7 +74,7 @@
 		_, err := boxes[i].Refresh(context.Background())
 		require.NoError(t, err)
 	}
-	watching := 0
+	readers := 0
 	first := make(map[string]int)
 	for _, b := range boxes {
 		_, err := b.Refresh(context.Background())
@@ -83,10 +83,10 @@
 		require.Len(t, b.Peers(), 9)
 		first[b.Peers()[0].String()]++
 		if b.IsReader() {
-			watching++
+			readers++
 		}
 	}
-	assert.Equal(t, readerCount, watching, "all boxes agree on the readers")
+	assert.Equal(t, readerCount, readers, "all boxes agree on the readers")
 	assert.Len(t, first, 10, "each box has a different first peer")
 	assert.Equal(t, 10, store.registrations, "one write per start")
 }
@@ -193,27 +193,27 @@
 			require.NoError(t, err)
 		}
 	}
-	reading := 0
+	readers := 0
 	for _, b := range boxes {
 		if b.IsReader() {
-			reading++
+			readers++
 			assert.Equal(t, 200.0, b.self.LinkMbps)
 		}
 	}
-	assert.Equal(t, readerCount, reading)
+	assert.Equal(t, readerCount, readers)
 }
 
 // pagedStore returns pages of a limited size.
 type pagedStore struct {
 	*fakeStore
-	page      int
+	pageSize  int
 	fullReads int
 }
 
 func (s *pagedStore) ListPage(ctx context.Context, stale bool) ([]Entry, bool, uint64, error) {
 	entries, revision, err := s.fakeStore.List(ctx, stale)
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Box, b.Box) })
-	return entries[:min(s.page, len(entries))], len(entries) > s.page, revision, err
+	return entries[:min(s.pageSize, len(entries))], len(entries) > s.pageSize, revision, err
 }
 
 func (s *pagedStore) List(ctx context.Context, stale bool) ([]Entry, uint64, error) {
@@ -224,7 +224,7 @@
 // Of many boxes that start at once, only a bounded number reads all entries.
 func TestFewBoxesReadAllEntries(t *testing.T) {
 	for _, n := range []int{100, 200} {
-		store := &pagedStore{fakeStore: &fakeStore{entries: make(map[string]Entry)}, page: 20}
+		store := &pagedStore{fakeStore: &fakeStore{entries: make(map[string]Entry)}, pageSize: 20}
 		boxes := make([]*Roster, n)
 		for i := range boxes {
 			boxes[i] = box(store, i)
@@ -251,7 +251,7 @@
 		}
 		assert.Greater(t, checks, n/2)
 		assert.Zero(t, store.fullReads, "checks do not read all entries")
-		assert.LessOrEqual(t, candidates, 2*n*readerCount/store.page, "number of reader candidates")
+		assert.LessOrEqual(t, candidates, 2*n*readerCount/store.pageSize, "number of reader candidates")
 		all, _, err := store.fakeStore.List(t.Context(), false)
 		require.NoError(t, err)
 		assert.True(t, boxes[n-1].ApplySnapshot(Snapshot{Entries: all, Revision: 7}))
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -154,11 +154,11 @@
 func TestTableDeltaIsSent(t *testing.T) {
 	var e tableEncoder
 	old, next := tableOf(1, 2000), tableOf(2, 1)
-	whole, err := e.body(old, 0)
+	full, err := e.body(old, 0)
 	require.NoError(t, err)
 	again, err := e.body(old, 0)
 	require.NoError(t, err)
-	assert.Same(t, &whole[0], &again[0], "encoded once")
+	assert.Same(t, &full[0], &again[0], "encoded once")
 	delta, err := e.body(next, 1)
 	require.NoError(t, err)
 	var d routing.Delta
@@ -195,9 +195,9 @@
 func TestNextBoxIsAsked(t *testing.T) {
 	good := serve(t, loaded(t, &source{table: tableOf(7, 3), servers: listOf(2), revision: 9}))
 	behind := serve(t, directory.New(log.NewNopLogger()))
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer silent.Close()
+	defer unresponsive.Close()
 	invalid := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		metadata{revision: 99, changed: 9}.write(w.Header())
 		_, _ = io.WriteString(w, "garbage")
@@ -208,11 +208,11 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer old.Close()
-	killed := servePartially(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
+	aborting := servePartially(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 	for name, address := range map[string]string{
-		"killed while sending": killed,
-		"gone":                 "127.0.0.1:1", "behind": behind.address, "silent": silent.Addr().String(),
-		"damaged": strings.TrimPrefix(invalid.URL, "http://"), "old": strings.TrimPrefix(old.URL, "http://"),
+		"connection aborted": aborting,
+		"unreachable":        "127.0.0.1:1", "behind": behind.address, "unresponsive": unresponsive.Addr().String(),
+		"invalid body": strings.TrimPrefix(invalid.URL, "http://"), "old": strings.TrimPrefix(old.URL, "http://"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := client(300*time.Millisecond, address, good.address)
@@ -245,10 +245,10 @@
 // A response that stalls is aborted soon.
 func TestStalledResponseIsAborted(t *testing.T) {
 	end := make(chan struct{})
-	frozen := servePartially(t, func(http.ResponseWriter) { <-end })
+	stalledBox := servePartially(t, func(http.ResponseWriter) { <-end })
 	defer close(end)
 	started := time.Now()
-	_, err := client(300*time.Millisecond, frozen).Servers(t.Context(), 0, 9)
+	_, err := client(300*time.Millisecond, stalledBox).Servers(t.Context(), 0, 9)
 	var stalled *stall.Error
 	require.ErrorAs(t, err, &stalled)
 	assert.True(t, stalled.Started)
@@ -328,9 +328,9 @@
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	assert.Empty(t, resp.Header.Get(headerSince))
-	var whole []routing.Server
-	require.NoError(t, decode(resp.Body, &whole))
-	assert.Len(t, whole, 2000)
+	var full []routing.Server
+	require.NoError(t, decode(resp.Body, &full))
+	assert.Len(t, full, 2000)
 }
 
 // slowSource delays reads of the list.
