--- a/pkg/config/bench_test.go
+++ b/pkg/config/bench_test.go
@@ -8,7 +8,7 @@
 
 const targetOrganisations = 41000
 
-// targetState is the configuration of the target size.
+// targetState returns a configuration of the size that the package is designed for.
 func targetState() *State {
 	c := Change{}
 	for i := range 7 {
@@ -24,16 +24,16 @@
 		})
 	}
 	for i := range targetOrganisations {
-		c.Organisations = append(c.Organisations, organisation(i))
+		c.Organisations = append(c.Organisations, testOrganisation(i))
 	}
 	return NewState().Apply(c)
 }
 
-func organisation(i int) Organisation {
+func testOrganisation(i int) Organisation {
 	return Organisation{Name: fmt.Sprintf("organisation-%05d", i), KeyHashes: []string{HashKey(fmt.Sprint(i))}, Class: "class-3", Weight: 1, Requests: 10}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -42,20 +42,20 @@
 
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		s := targetState()
-		b.ReportMetric(float64(heap()-before)/1e6, "MB/state")
+		b.ReportMetric(float64(heapBytes()-before)/1e6, "MB/state")
 		runtime.KeepAlive(s)
 	}
 }
 
-// BenchmarkApply puts a change of one organisation, or of one server, in force.
+// BenchmarkApply applies a change of one organisation or of one server.
 func BenchmarkApply(b *testing.B) {
 	s := targetState()
 	server, _ := s.Server("server-0001")
 	server.State = ServerStateLeaving
 	for name, c := range map[string]Change{
-		"organisation": {Organisations: []Organisation{organisation(7)}},
+		"organisation": {Organisations: []Organisation{testOrganisation(7)}},
 		"server":       {Servers: []Server{server}},
 	} {
 		b.Run(name, func(b *testing.B) {
@@ -67,11 +67,11 @@
 	}
 }
 
-// BenchmarkCopy encodes and reads the whole configuration, as a starting box does.
+// BenchmarkCopy encodes and restores a snapshot of the whole configuration.
 func BenchmarkCopy(b *testing.B) {
 	s := targetState()
 	for b.Loop() {
-		parts := encodeParts(s)
+		parts := encodeSnapshot(s)
 		size := 0
 		for _, p := range parts {
 			size += len(p)
--- a/pkg/config/doc.go
+++ b/pkg/config/doc.go
@@ -1,7 +1,7 @@
-// Package config holds the operators' accepted configuration: its items, the
-// generations they go through, and how every box follows them.
+// Package config holds the accepted configuration: its items, its generations and
+// the store through which a box follows them.
 //
 // Generation N is the state after record N of the configuration log (package
-// objlog). Appending the record is the acceptance. A box never goes back to a
-// lower generation than it has seen.
+// objlog). A change is accepted when its record is appended to the log. A box
+// never returns to a lower generation than it has seen.
 package config
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// ConflictError says that another plan was accepted first.
+// ConflictError reports a change that is not based on the current generation,
+// because another plan was accepted first.
 type ConflictError struct {
 	Base, Current uint64
 }
@@ -11,7 +12,7 @@
 	return fmt.Sprintf("the plan was made on generation %d, generation %d is in force by now: nothing was changed; plan again", e.Base, e.Current)
 }
 
-// UnknownOutcomeError says that a confirmation may or may not have been accepted.
+// UnknownOutcomeError reports that a change may or may not have been accepted.
 type UnknownOutcomeError struct{ Cause error }
 
 func (e *UnknownOutcomeError) Error() string {
@@ -20,14 +21,15 @@
 
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// PlanExpiredError says that a plan is too old to tell what became of it.
+// PlanExpiredError reports a plan whose base is older than the retained history,
+// so that it cannot be determined whether it was accepted.
 type PlanExpiredError struct{ Base uint64 }
 
 func (e *PlanExpiredError) Error() string {
 	return fmt.Sprintf("the plan was made on generation %d, too long ago to tell whether it was accepted: compare with `headhillctl config` and plan again", e.Base)
 }
 
-// NotReadyError says that the box has not got the configuration yet.
+// NotReadyError reports that the box has not loaded a configuration yet.
 type NotReadyError struct{}
 
 func (e *NotReadyError) Error() string {
--- a/pkg/config/follow.go
+++ b/pkg/config/follow.go
@@ -12,28 +12,29 @@
 	"headhill.example/headhill/pkg/pause"
 )
 
-// MaxFollowDelay is the longest that a box waits after a change before it reads on, so
-// that many changes in a row cost it one read, and the boxes' reads spread out.
+// MaxFollowDelay is the maximum delay after a change before a box reads the log
+// again. The delay batches consecutive changes and spreads the reads of the boxes.
 const MaxFollowDelay = 2 * time.Second
 
-// Follow keeps the store up with the platform's log until ctx ends. While the
-// platform is away, peers bring what is new.
-func (s *Store) Follow(ctx context.Context, collect time.Duration) {
-	retries := backoff.NewExponentialBackOff()
-	retries.InitialInterval = 200 * time.Millisecond
-	retries.MaxInterval = 15 * time.Second
-	next := s.Refresh
+// Follow keeps the store up to date with the platform's log until ctx is done.
+// After each read it waits for a random time of up to maxDelay. During a platform
+// outage, changes arrive only from peers.
+func (s *Store) Follow(ctx context.Context, maxDelay time.Duration) {
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = 200 * time.Millisecond
+	retryBackoff.MaxInterval = 15 * time.Second
+	readLog := s.Refresh
 	for ctx.Err() == nil {
-		err := next(ctx)
+		err := readLog(ctx)
 		if err == nil || objectstore.IsNoChange(err) {
-			retries.Reset()
-			next = s.Await
-			pause.For(ctx, rand.N(collect+1))
+			retryBackoff.Reset()
+			readLog = s.Await
+			pause.For(ctx, rand.N(maxDelay+1))
 			continue
 		}
-		level.Debug(s.logger).Log("msg", "the platform's configuration log can't be read", "err", err)
-		// After a failure the log is read as it is: a watch would wait for a change.
-		next = s.Refresh
-		pause.For(ctx, retries.NextBackOff())
+		level.Debug(s.logger).Log("msg", "reading the configuration log failed; retrying", "err", err)
+		// Do not wait for a change after a failure: read the log as it is.
+		readLog = s.Refresh
+		pause.For(ctx, retryBackoff.NextBackOff())
 	}
 }
--- a/pkg/config/items.go
+++ b/pkg/config/items.go
@@ -5,62 +5,68 @@
 	"time"
 )
 
-// Class is a service class: callers with the same targets and priority.
+// The field names of Class, Organisation, Service and Server are shown to
+// operators in plans (intent.FieldDiff).
+
+// Class is a service class: requests with the same latency targets and priority.
 type Class struct {
 	Name string `json:"name"`
-	// Tier orders classes; 1 is the highest.
+	// Tier is the priority; 1 is the highest.
 	Tier int `json:"tier"`
-	// Floor is the share of starts the class gets while it has work waiting.
+	// Floor is the minimum share of starts while the class has requests waiting.
 	Floor float64 `json:"floor"`
-	// FloorPlaces are queue places of its own, on top of the shared queue.
+	// FloorPlaces is the number of queue places reserved for the class in addition
+	// to the shared queue.
 	FloorPlaces int `json:"floor_places"`
-	// Places is its guaranteed part of the shared queue.
+	// Places is the number of places in the shared queue guaranteed to the class.
 	Places int `json:"places"`
-	// FirstToken and Between are the latency targets.
+	// FirstToken is the target for the time to the first token, Between the target
+	// for the time between tokens; 0 sets no target.
 	FirstToken time.Duration `json:"first_token_ns"`
 	Between    time.Duration `json:"between_tokens_ns"`
-	// Deadline bounds the wait for a start.
+	// Deadline is the maximum time in the queue.
 	Deadline time.Duration `json:"deadline_ns"`
-	// Servers lists the backend servers the class may use; empty means all.
+	// Servers lists the backend servers that the class may use; empty means all.
 	Servers []string `json:"servers,omitempty"`
 }
 
-// Organisation is a customer.
+// Organisation is a tenant, identified by its API keys.
 type Organisation struct {
 	Name string `json:"name"`
-	// KeyHashes are hex SHA-256 hashes of its API keys.
+	// KeyHashes are the hex SHA-256 hashes of the API keys.
 	KeyHashes []string `json:"key_hashes"`
-	// Class is the class of its calls that name none.
+	// Class is the default class of the organisation's requests.
 	Class string `json:"class"`
-	// Classes it may name; empty means any.
+	// Classes lists the classes that requests may select; empty means any.
 	Classes []string `json:"classes,omitempty"`
-	Weight  float64  `json:"weight"`
-	// Rates a second and running requests, each for one shard; 0 is unlimited.
+	// Weight is the organisation's weight in fair sharing.
+	Weight float64 `json:"weight"`
+	// Requests and Tokens are rate limits per second, Concurrency limits the
+	// running requests. Each applies per shard; 0 means unlimited.
 	Requests    float64 `json:"requests_per_second,omitempty"`
 	Tokens      float64 `json:"tokens_per_second,omitempty"`
 	Concurrency int     `json:"concurrency,omitempty"`
 }
 
-// Kinds of services.
+// Kinds of services: model engines, and plain HTTP services.
 const (
 	ServiceKindEngine = "engine"
 	ServiceKindPlain  = "plain"
 )
 
-// Service is a pool of backend servers that answer one kind of call.
+// Service is a pool of interchangeable backend servers.
 type Service struct {
 	Name string `json:"name"`
 	Kind string `json:"kind"`
-	// Models that an engine service serves.
+	// Models lists the models that an engine service serves.
 	Models []string `json:"models,omitempty"`
-	// Class of calls that name none, before the organisation's.
+	// Class is the default class; it takes precedence over the organisation's.
 	Class string `json:"class,omitempty"`
-	// Repeatable says whether calls may be repeated unless they say otherwise.
+	// Repeatable is whether requests may be retried by default.
 	Repeatable bool `json:"repeatable"`
-	// Queue bounds the waiting requests of one shard.
+	// Queue is the maximum number of waiting requests per shard.
 	Queue int `json:"queue"`
-	// Headroom is the number of free slots of a shard that only the highest tier
-	// may take.
+	// Headroom is the number of free slots per shard reserved for the highest tier.
 	Headroom int `json:"headroom,omitempty"`
 }
 
@@ -75,19 +81,19 @@
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
-	// Address is IP:port.
+	// Address has the form IP:port.
 	Address string `json:"address"`
-	// Slots is the largest number of requests to run at a time.
+	// Slots is the maximum number of concurrent requests.
 	Slots int `json:"slots"`
-	// Fences says that the server checks who orders it.
+	// Fences is whether the server checks fencing tokens.
 	Fences bool   `json:"checks_fences"`
 	State  string `json:"state"`
 }
 
-// ItemKind names a kind of item.
+// ItemKind is a kind of configuration item.
 type ItemKind string
 
-// Kinds of items, as they stand in intents.
+// Kinds of items, as written in intents.
 const (
 	KindClass        ItemKind = "class"
 	KindOrganisation ItemKind = "organisation"
@@ -95,13 +101,13 @@
 	KindServer       ItemKind = "server"
 )
 
-// Ref names an item.
+// Ref identifies an item.
 type Ref struct {
 	Kind ItemKind `json:"kind"`
 	Name string   `json:"name"`
 }
 
-// Change is what one generation changes: items put in place, items removed.
+// Change is a set of items to add or replace, and of items to remove.
 type Change struct {
 	Classes       []Class        `json:"classes,omitempty"`
 	Organisations []Organisation `json:"organisations,omitempty"`
@@ -110,23 +116,24 @@
 	Remove        []Ref          `json:"remove,omitempty"`
 }
 
-// Empty tells whether nothing changes.
+// Empty reports whether the change contains no items.
 func (c *Change) Empty() bool {
 	return len(c.Classes)+len(c.Organisations)+len(c.Services)+len(c.Servers)+len(c.Remove) == 0
 }
 
-// touches tells whether the change puts or removes an item of a kind.
+// touches reports whether the change sets or removes an item of a kind.
 func (c *Change) touches(k ItemKind) bool {
-	put := map[ItemKind]int{
+	set := map[ItemKind]int{
 		KindClass:        len(c.Classes),
 		KindOrganisation: len(c.Organisations),
 		KindService:      len(c.Services),
 		KindServer:       len(c.Servers),
 	}
-	return put[k] > 0 || slices.ContainsFunc(c.Remove, func(r Ref) bool { return r.Kind == k })
+	return set[k] > 0 || slices.ContainsFunc(c.Remove, func(r Ref) bool { return r.Kind == k })
 }
 
-// AcceptedChange is a record of the configuration log. Its ID is the plan's.
+// AcceptedChange is the data of a record of the configuration log. The record's ID
+// is the ID of the plan.
 type AcceptedChange struct {
 	Operator string    `json:"operator"`
 	At       time.Time `json:"at"`
--- a/pkg/config/shards.go
+++ b/pkg/config/shards.go
@@ -7,23 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TargetShardServers is the largest number of backend servers meant for one shard.
+// TargetShardServers is the number of backend servers per shard that the split of
+// a large service aims at. It leaves room for uneven hash buckets below the limit
+// of a scheduler.
 const TargetShardServers = 32
 
-// Shard is a part of a service's backend servers that one box schedules at a
-// time.
+// Shard is a group of a service's backend servers that is scheduled by one box at
+// a time.
 type Shard struct {
 	ID      string
 	Service string
-	// Hall the servers stand in; empty when they stand in several.
+	// Hall is the hall of the servers; empty if the shard is the whole service, which
+	// may span several.
 	Hall    string
 	Servers []string
 }
 
-// Shards returns all shards by ID.
+// Shards returns all shards ordered by ID.
 func (s *State) Shards() []Shard { return s.shards }
 
-// Shard returns a shard by its ID.
+// Shard returns the shard with the given ID.
 func (s *State) Shard(id string) (Shard, bool) {
 	i, ok := slices.BinarySearchFunc(s.shards, id, func(sh Shard, id string) int {
 		switch {
@@ -51,17 +54,18 @@
 	return list
 }
 
-// makeShards splits the services. A service that fits is one shard, whatever
-// halls it spans, so that tiers are exact across it. A larger one is split by
-// hall, and a hall by hash, so that adding a server moves few others.
-func makeShards(s *State) []Shard {
+// buildShards assigns the servers of each service to shards. A service of up to
+// TargetShardServers servers is one shard even if it spans halls, so that tiers
+// are strictly ordered across it. A larger one is split by hall, and a hall by
+// hash of the server name, so that adding a server moves few others.
+func buildShards(s *State) []Shard {
 	byService := make(map[string][]Server)
 	for _, v := range s.Servers() {
 		byService[v.Service] = append(byService[v.Service], v)
 	}
 	byID := make(map[string]*Shard)
 	for service, servers := range byService {
-		halls := hallSizes(servers)
+		halls := serversPerHall(servers)
 		for _, v := range servers {
 			sh := shardOf(service, v, len(servers), halls[v.Hall])
 			if byID[sh.ID] == nil {
@@ -83,7 +87,7 @@
 	return list
 }
 
-func hallSizes(servers []Server) map[string]int {
+func serversPerHall(servers []Server) map[string]int {
 	m := make(map[string]int)
 	for _, v := range servers {
 		m[v.Hall]++
@@ -91,13 +95,11 @@
 	return m
 }
 
-func shardOf(service string, v Server, inService, inHall int) Shard {
-	if inService <= TargetShardServers {
+func shardOf(service string, v Server, serviceSize, hallSize int) Shard {
+	if serviceSize <= TargetShardServers {
 		return Shard{ID: service, Service: service}
 	}
-	// A little slack keeps the uneven buckets of the hash within a scheduler's
-	// bound.
-	n := (inHall + TargetShardServers - 1) / TargetShardServers
+	n := (hallSize + TargetShardServers - 1) / TargetShardServers
 	bucket := xxhash.Sum64String(v.Name) % uint64(n)
 	id := fmt.Sprintf("%s/%s/%d", service, v.Hall, bucket)
 	return Shard{ID: id, Service: service, Hall: v.Hall}
--- a/pkg/config/state.go
+++ b/pkg/config/state.go
@@ -15,14 +15,14 @@
 	classes  map[string]Class
 	services map[string]Service
 	servers  map[string]Server
-	orgs     table[Organisation]
-	// keys maps an API key's hash to its organisation.
-	keys table[string]
-	// shards is worked out once a generation.
+	orgs     bucketMap[Organisation]
+	// keys maps the hash of an API key to the organisation's name.
+	keys bucketMap[string]
+	// shards is computed once per generation, ordered by ID.
 	shards []Shard
 }
 
-// NewState returns the empty configuration, generation 0.
+// NewState returns the empty configuration at generation 0.
 func NewState() *State {
 	return &State{
 		classes:  map[string]Class{},
@@ -31,36 +31,36 @@
 	}
 }
 
-// Class returns a class.
+// Class returns the class with the given name.
 func (s *State) Class(name string) (Class, bool) {
 	c, ok := s.classes[name]
 	return c, ok
 }
 
-// Service returns a service.
+// Service returns the service with the given name.
 func (s *State) Service(name string) (Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
 }
 
-// Server returns a backend server.
+// Server returns the backend server with the given name.
 func (s *State) Server(name string) (Server, bool) {
 	v, ok := s.servers[name]
 	return v, ok
 }
 
-// Organisation returns an organisation.
+// Organisation returns the organisation with the given name.
 func (s *State) Organisation(name string) (Organisation, bool) { return s.orgs.get(name) }
 
-// HashKey returns the hex SHA-256 of an API key or operator's token: the form in
-// which keys are stored.
+// HashKey returns the hex SHA-256 of an API key or operator token, the form in
+// which it is stored.
 func HashKey(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:])
 }
 
-// OrganisationByKey finds the organisation that an API key belongs to. The look
-// up goes by the key's hash, and the last comparison takes constant time.
+// OrganisationByKey returns the organisation that an API key belongs to. The
+// lookup uses the key's hash; the final comparison takes constant time.
 func (s *State) OrganisationByKey(key string) (Organisation, bool) {
 	hash := HashKey(key)
 	name, ok := s.keys.get(hash)
@@ -79,8 +79,8 @@
 	return Organisation{}, false
 }
 
-// ServiceByModel finds the engine service of a model; the first by name if
-// several serve it.
+// ServiceByModel returns the engine service that serves a model. If several do, it
+// returns the first by name.
 func (s *State) ServiceByModel(model string) (Service, bool) {
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
@@ -91,19 +91,19 @@
 	return Service{}, false
 }
 
-// Classes returns the classes by name.
+// Classes returns all classes ordered by name.
 func (s *State) Classes() []Class { return sortedValues(s.classes) }
 
-// Services returns the services by name.
+// Services returns all services ordered by name.
 func (s *State) Services() []Service { return sortedValues(s.services) }
 
-// Servers returns the backend servers by name.
+// Servers returns all backend servers ordered by name.
 func (s *State) Servers() []Server { return sortedValues(s.servers) }
 
-// Organisations returns the organisations by name.
+// Organisations returns all organisations ordered by name.
 func (s *State) Organisations() []Organisation {
 	list := make([]Organisation, 0, s.orgs.size)
-	for _, o := range s.orgs.all() {
+	for _, o := range s.orgs.sorted() {
 		list = append(list, o)
 	}
 	return list
@@ -117,11 +117,12 @@
 	return list
 }
 
-// Apply returns the next generation.
+// Apply returns the next generation, with the change applied. It does not validate
+// the change.
 func (s *State) Apply(c Change) *State {
 	n := *s
 	n.Generation = s.Generation + 1
-	n.unshare(c)
+	n.cloneTouchedMaps(c)
 	for _, r := range c.Remove {
 		n.removeItem(r)
 	}
@@ -134,25 +135,25 @@
 	for _, v := range c.Servers {
 		n.servers[v.Name] = v
 	}
-	// All old keys go first: a key may move between two organisations.
+	// Remove all old keys first, as a key may move between organisations.
 	for _, v := range c.Organisations {
 		n.removeKeys(v.Name)
 	}
 	for _, v := range c.Organisations {
-		n.orgs = n.orgs.put(v.Name, v)
+		n.orgs = n.orgs.with(v.Name, v)
 		for _, h := range v.KeyHashes {
-			n.keys = n.keys.put(h, v.Name)
+			n.keys = n.keys.with(h, v.Name)
 		}
 	}
 	if c.touches(KindServer) || c.touches(KindService) {
-		n.shards = makeShards(&n)
+		n.shards = buildShards(&n)
 	}
 	return &n
 }
 
-// unshare copies the maps that a change touches; the others stay shared between
-// the generations.
-func (s *State) unshare(c Change) {
+// cloneTouchedMaps copies the maps that a change modifies. The others remain shared
+// between generations.
+func (s *State) cloneTouchedMaps(c Change) {
 	if c.touches(KindClass) {
 		s.classes = maps.Clone(s.classes)
 	}
@@ -174,7 +175,7 @@
 		delete(s.servers, r.Name)
 	case KindOrganisation:
 		s.removeKeys(r.Name)
-		s.orgs = s.orgs.remove(r.Name)
+		s.orgs = s.orgs.without(r.Name)
 	}
 }
 
@@ -184,11 +185,11 @@
 		return
 	}
 	for _, h := range o.KeyHashes {
-		s.keys = s.keys.remove(h)
+		s.keys = s.keys.without(h)
 	}
 }
 
-// Export returns the whole configuration as one change, for snapshots.
+// Export returns the whole configuration as one change.
 func (s *State) Export() Change {
 	return Change{
 		Classes:       s.Classes(),
@@ -198,8 +199,8 @@
 	}
 }
 
-// importState builds a state from an exported change.
-func importState(generation uint64, parts []Change) *State {
+// stateFromSnapshot returns the state of a snapshot's parts.
+func stateFromSnapshot(generation uint64, parts []Change) *State {
 	s := NewState()
 	for _, c := range parts {
 		s = s.Apply(c)
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -15,13 +15,15 @@
 )
 
 const (
-	// historyKept and historyBytes bound the records that peers and repeated
-	// confirmations can ask for. Whoever is further behind takes a whole copy.
-	historyKept  = 1024
-	historyBytes = 2 << 20
-	// partBytes is the size aimed at for a part of a snapshot.
-	partBytes = 512 << 10
-	logName   = "/config"
+	// maxHistoryEntries and maxHistoryBytes limit the recent entries retained for
+	// peers and for retried confirmations. A peer that is further behind needs a
+	// snapshot.
+	maxHistoryEntries = 1024
+	maxHistoryBytes   = 2 << 20
+	// targetPartBytes is the approximate size of a snapshot part.
+	targetPartBytes = 512 << 10
+	// logName is the suffix of the log's name, after the prefix.
+	logName = "/config"
 )
 
 // Entry is a record of the configuration log with its generation.
@@ -30,24 +32,24 @@
 	Record     objlog.Record
 }
 
-// Store holds the configuration in force on this box.
+// Store holds the current configuration of a box.
 type Store struct {
 	logger log.Logger
 	log    *objlog.Log
 
 	state atomic.Pointer[State]
 
-	mu          sync.Mutex
-	history     []Entry
-	historySize int
-	changed     chan struct{}
-	// loaded is set once the platform or a peer gave its configuration.
+	mu           sync.Mutex
+	history      []Entry
+	historyBytes int
+	changed      chan struct{}
+	// loaded is set once the platform or a peer has provided a configuration.
 	loaded bool
-	// behind is what the platform last showed less than.
-	behind error
+	// staleLogErr is set while the platform's log is behind the current generation.
+	staleLogErr error
 }
 
-// NewStore returns an empty store of the log under prefix.
+// NewStore returns an empty store that follows the configuration log under prefix.
 func NewStore(objects objectstore.Objects, prefix string, logger log.Logger) *Store {
 	s := &Store{logger: logger, changed: make(chan struct{})}
 	s.state.Store(NewState())
@@ -55,31 +57,32 @@
 	return s
 }
 
-// Current returns the configuration in force.
+// Current returns the current configuration.
 func (s *Store) Current() *State { return s.state.Load() }
 
-// Loaded tells whether the box has read a configuration, if only an empty one.
+// Loaded reports whether a configuration has been loaded, even an empty one.
 func (s *Store) Loaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loaded
 }
 
-// StaleLogErr returns why the platform's log is not believed, or nil.
+// StaleLogErr returns an *objlog.BehindError if the last read found the platform's
+// log behind what was seen before, and nil otherwise.
 func (s *Store) StaleLogErr() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.behind
+	return s.staleLogErr
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed on the next change.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// logReader applies the platform's log to the store.
+// logReader applies the records of the platform's log to the store.
 type logReader Store
 
 // Restore implements objlog.Reader.
@@ -92,8 +95,8 @@
 	return (*Store)(r).ApplyEntry(Entry{Generation: index, Record: rec})
 }
 
-// ApplyEntry puts the next generation in force. What is in force already is
-// passed over; a gap is refused, for a later pull to fill.
+// ApplyEntry applies the entry of the next generation. An entry that has been
+// applied already is ignored. A gap returns a *ConflictError; a later pull fills it.
 func (s *Store) ApplyEntry(e Entry) error {
 	var a AcceptedChange
 	if err := json.Unmarshal(e.Record.Data, &a); err != nil {
@@ -101,27 +104,27 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.state.Load()
-	if e.Generation <= now.Generation {
+	current := s.state.Load()
+	if e.Generation <= current.Generation {
 		return nil
 	}
-	if e.Generation != now.Generation+1 {
-		return &ConflictError{Base: now.Generation, Current: e.Generation}
+	if e.Generation != current.Generation+1 {
+		return &ConflictError{Base: current.Generation, Current: e.Generation}
 	}
-	s.remember(e)
-	s.publish(now.Apply(a.Change))
-	level.Info(s.logger).Log("msg", "configuration in force", "generation", e.Generation, "operator", a.Operator, "plan", e.Record.ID)
+	s.appendHistory(e)
+	s.publish(current.Apply(a.Change))
+	level.Info(s.logger).Log("msg", "configuration applied", "generation", e.Generation, "operator", a.Operator, "plan", e.Record.ID)
 	return nil
 }
 
-// remember keeps the newest records within the bounds, the very newest always. It
-// is called with the lock held.
-func (s *Store) remember(e Entry) {
+// appendHistory adds an entry to the history and drops the oldest ones that exceed
+// the limits. The newest is always retained. The caller holds s.mu.
+func (s *Store) appendHistory(e Entry) {
 	s.history = append(s.history, e)
-	s.historySize += len(e.Record.Data)
+	s.historyBytes += len(e.Record.Data)
 	drop := 0
-	for len(s.history)-drop > 1 && (len(s.history)-drop > historyKept || s.historySize > historyBytes) {
-		s.historySize -= len(s.history[drop].Record.Data)
+	for len(s.history)-drop > 1 && (len(s.history)-drop > maxHistoryEntries || s.historyBytes > maxHistoryBytes) {
+		s.historyBytes -= len(s.history[drop].Record.Data)
 		drop++
 	}
 	if drop > 0 {
@@ -129,7 +132,8 @@
 	}
 }
 
-// Restore puts a whole copy in force, unless it is older than what is.
+// Restore replaces the configuration with a snapshot. A snapshot that is not newer
+// than the current generation is ignored.
 func (s *Store) Restore(generation uint64, parts [][]byte) error {
 	changes := make([]Change, len(parts))
 	for i, p := range parts {
@@ -142,13 +146,13 @@
 	if generation <= s.state.Load().Generation {
 		return nil
 	}
-	s.history, s.historySize = nil, 0
-	s.publish(importState(generation, changes))
-	level.Info(s.logger).Log("msg", "configuration restored from a whole copy", "generation", generation)
+	s.history, s.historyBytes = nil, 0
+	s.publish(stateFromSnapshot(generation, changes))
+	level.Info(s.logger).Log("msg", "configuration restored from a snapshot", "generation", generation)
 	return nil
 }
 
-// publish is called with the lock held.
+// publish sets the current state and wakes waiters. The caller holds s.mu.
 func (s *Store) publish(st *State) {
 	s.state.Store(st)
 	s.loaded = true
@@ -156,34 +160,36 @@
 	s.changed = make(chan struct{})
 }
 
-// MarkLoaded says that a source answered, so that an empty configuration counts.
+// MarkLoaded records that a source has responded, so that an empty configuration
+// counts as loaded.
 func (s *Store) MarkLoaded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loaded = true
 }
 
-// Refresh reads what is new from the platform.
-func (s *Store) Refresh(ctx context.Context) error { return s.read(s.log.Refresh(ctx)) }
+// Refresh reads and applies new records of the platform's log.
+func (s *Store) Refresh(ctx context.Context) error { return s.finishRead(s.log.Refresh(ctx)) }
 
-// Await waits until the platform's log grows and reads what is new.
-func (s *Store) Await(ctx context.Context) error { return s.read(s.log.Await(ctx)) }
+// Await waits until the platform's log grows, then applies the new records.
+func (s *Store) Await(ctx context.Context) error { return s.finishRead(s.log.Await(ctx)) }
 
-// read notes what came of reading the platform's log.
-func (s *Store) read(err error) error {
+// finishRead records the result of reading the platform's log and returns its
+// error, or that of checkStaleLog.
+func (s *Store) finishRead(err error) error {
 	if err == nil {
-		err = s.checkBehind()
+		err = s.checkStaleLog()
 	}
-	s.noteBehind(err)
+	s.setStaleLogErr(err)
 	if err == nil {
 		s.MarkLoaded()
 	}
 	return err
 }
 
-// checkBehind compares the platform's log with the generation in force, which a
-// peer may have brought.
-func (s *Store) checkBehind() error {
+// checkStaleLog returns an error if the platform's log is behind the current
+// generation, which may have come from a peer.
+func (s *Store) checkStaleLog() error {
 	shown, seen := s.log.Next()-1, s.Current().Generation
 	if shown < seen {
 		return &objlog.BehindError{Log: "config", Seen: seen, Shown: shown}
@@ -191,18 +197,20 @@
 	return nil
 }
 
-func (s *Store) noteBehind(err error) {
+// setStaleLogErr sets staleLogErr to err if it is an *objlog.BehindError and
+// clears it otherwise.
+func (s *Store) setStaleLogErr(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behind = nil
+	s.staleLogErr = nil
 	if objlog.IsBehind(err) {
-		s.behind = err
+		s.staleLogErr = err
 		level.Error(s.logger).Log("msg", "the platform shows an older configuration; it is not applied", "err", err)
 	}
 }
 
-// EntriesSince returns the entries after a generation, or ok false when they are not
-// kept any more and a whole copy is needed.
+// EntriesSince returns the entries after a generation. If they are no longer
+// retained, ok is false and the caller needs a snapshot.
 func (s *Store) EntriesSince(generation uint64) (entries []Entry, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,18 +220,18 @@
 	if len(s.history) == 0 || s.history[0].Generation > generation+1 {
 		return nil, false
 	}
-	from := generation + 1 - s.history[0].Generation
-	return append([]Entry(nil), s.history[from:]...), true
+	first := generation + 1 - s.history[0].Generation
+	return append([]Entry(nil), s.history[first:]...), true
 }
 
-// SnapshotParts returns a whole copy of the configuration in force, in parts that fit
-// the platform's values and a peer's messages.
+// SnapshotParts returns a snapshot of the current configuration, in parts small
+// enough for objects of the platform and messages between peers.
 func (s *Store) SnapshotParts() (generation uint64, parts [][]byte) {
 	st := s.Current()
-	return st.Generation, encodeParts(st)
+	return st.Generation, encodeSnapshot(st)
 }
 
-func encodeParts(st *State) [][]byte {
+func encodeSnapshot(st *State) [][]byte {
 	rest := st.Export()
 	orgs := rest.Organisations
 	rest.Organisations = nil
@@ -233,7 +241,7 @@
 	for _, o := range orgs {
 		batch = append(batch, o)
 		size += len(o.Name) + 72*len(o.KeyHashes) + 160
-		if size >= partBytes {
+		if size >= targetPartBytes {
 			parts = append(parts, mustJSON(Change{Organisations: batch}))
 			batch, size = nil, 0
 		}
@@ -244,7 +252,7 @@
 	return parts
 }
 
-// mustJSON encodes plain structs, which can't fail.
+// mustJSON encodes a value of a type for which Marshal cannot fail.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -253,13 +261,14 @@
 	return b
 }
 
-// confirmTimeout bounds how long a confirmation waits for a definite answer.
+// confirmTimeout limits the time a confirmation waits for a definite result.
 const confirmTimeout = 5 * time.Second
 
-// Confirm accepts a change that was planned on generation base under the plan's
-// ID, and returns the generation that it became. Confirming again returns the
-// same generation. ConflictError, UnknownOutcomeError and objectstore.UnavailableError say
-// that, or whether, it was not accepted.
+// Confirm appends a change that was planned on generation base to the log, under
+// the plan's ID, and returns the generation it became. It is idempotent:
+// confirming the same plan again returns the same generation. After an
+// UnknownOutcomeError or a PlanExpiredError the change may have been accepted; on
+// any other error, this call did not append it.
 func (s *Store) Confirm(ctx context.Context, id string, base uint64, a AcceptedChange) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
@@ -267,10 +276,9 @@
 		return 0, err
 	}
 	if s.Current().Generation != base {
-		return s.confirmed(id, base)
+		return s.findConfirmed(id, base)
 	}
-	// A plan comes back from outside: what was true when it was made is checked
-	// again.
+	// The plan comes from a client, so validate it again.
 	if err := s.Current().Apply(a.Change).Validate(); err != nil {
 		return 0, err
 	}
@@ -278,18 +286,19 @@
 	err := s.log.Append(ctx, base+1, []objlog.Record{rec})
 	switch {
 	case err == nil:
-		s.foldLater()
+		s.foldInBackground()
 		return base + 1, nil
 	case objlog.IsMoved(err):
-		return s.confirmed(id, base)
+		return s.findConfirmed(id, base)
 	case objectstore.IsUnknown(err):
 		return 0, &UnknownOutcomeError{Cause: err}
 	}
 	return 0, err
 }
 
-// confirmed looks what became of a plan whose base is no longer in force.
-func (s *Store) confirmed(id string, base uint64) (uint64, error) {
+// findConfirmed determines whether a plan was accepted whose base is no longer the
+// current generation.
+func (s *Store) findConfirmed(id string, base uint64) (uint64, error) {
 	entries, ok := s.EntriesSince(base)
 	if !ok {
 		return 0, &PlanExpiredError{Base: base}
@@ -300,27 +309,27 @@
 	return 0, &ConflictError{Base: base, Current: s.Current().Generation}
 }
 
-// foldLater folds a long log in the background of the confirmation.
-func (s *Store) foldLater() {
+// foldInBackground starts folding the log into a snapshot if it has grown long.
+func (s *Store) foldInBackground() {
 	if !s.log.Foldable() {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		err := s.log.Fold(ctx, s.stateAt)
+		err := s.log.Fold(ctx, s.snapshotAt)
 		if err != nil {
-			level.Warn(s.logger).Log("msg", "folding the configuration log failed; it is tried again later", "err", err)
+			level.Warn(s.logger).Log("msg", "folding the configuration log failed; retrying after a later confirmation", "err", err)
 		}
 	}()
 }
 
-// stateAt returns the state after record index. A peer may have brought the store
-// further than the log was read; then there is nothing to fold now.
-func (s *Store) stateAt(index uint64) (parts [][]byte, ok bool) {
+// snapshotAt returns the snapshot after record index. ok is false if the store is
+// at another generation, as entries from peers may have advanced it.
+func (s *Store) snapshotAt(index uint64) (parts [][]byte, ok bool) {
 	st := s.Current()
 	if st.Generation != index {
 		return nil, false
 	}
-	return encodeParts(st), true
+	return encodeSnapshot(st), true
 }
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -20,13 +20,13 @@
 	return NewStore(p.Client(), "p", log.NewNopLogger())
 }
 
-func classChange(name string) AcceptedChange {
+func acceptedClass(name string) AcceptedChange {
 	return AcceptedChange{Operator: "op", Change: Change{Classes: []Class{{Name: name, Tier: 1, Floor: 0.01, FloorPlaces: 1}}}}
 }
 
 func confirm(t *testing.T, s *Store, id string) uint64 {
 	t.Helper()
-	g, err := s.Confirm(t.Context(), id, s.Current().Generation, classChange(id))
+	g, err := s.Confirm(t.Context(), id, s.Current().Generation, acceptedClass(id))
 	require.NoError(t, err)
 	return g
 }
@@ -34,15 +34,15 @@
 func TestTwoOperatorsRace(t *testing.T) {
 	p := standin.New()
 	a, b := newTestStore(p), newTestStore(p)
-	g, err := a.Confirm(t.Context(), "plan-a", 0, classChange("a"))
+	g, err := a.Confirm(t.Context(), "plan-a", 0, acceptedClass("a"))
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), g)
-	_, err = b.Confirm(t.Context(), "plan-b", 0, classChange("b"))
+	_, err = b.Confirm(t.Context(), "plan-b", 0, acceptedClass("b"))
 	var raced *ConflictError
 	require.ErrorAs(t, err, &raced)
 	require.NoError(t, a.Refresh(t.Context()))
 	_, exists := a.Current().Class("b")
-	require.False(t, exists, "the loser's plan took effect")
+	require.False(t, exists, "the conflicting plan was applied")
 }
 
 func TestConfirmTwiceTakesEffectOnce(t *testing.T) {
@@ -50,7 +50,7 @@
 	a, b := newTestStore(p), newTestStore(p)
 	first := confirm(t, a, "plan")
 	confirm(t, a, "later")
-	again, err := b.Confirm(t.Context(), "plan", 0, classChange("plan"))
+	again, err := b.Confirm(t.Context(), "plan", 0, acceptedClass("plan"))
 	require.NoError(t, err)
 	require.Equal(t, first, again)
 	require.Equal(t, uint64(2), b.Current().Generation)
@@ -65,13 +65,13 @@
 	})
 }
 
-func TestConfirmInAnOutageIsUncertainOrRefused(t *testing.T) {
+func TestConfirmFailsDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		s := newTestStore(p)
 		require.NoError(t, s.Refresh(t.Context()))
 		p.SetFaults(standin.Faults{Down: true})
-		_, err := s.Confirm(t.Context(), "plan", 0, classChange("a"))
+		_, err := s.Confirm(t.Context(), "plan", 0, acceptedClass("a"))
 		require.True(t, objectstore.IsUnavailable(err), "%v", err)
 		p.SetFaults(standin.Faults{})
 		require.Equal(t, uint64(1), confirm(t, s, "plan"))
@@ -89,12 +89,12 @@
 	require.Error(t, s.StaleLogErr())
 	_, exists := s.Current().Class("b")
 	require.True(t, exists, "an accepted change was lost")
-	_, err := s.Confirm(t.Context(), "c", 2, classChange("c"))
+	_, err := s.Confirm(t.Context(), "c", 2, acceptedClass("c"))
 	require.True(t, objlog.IsBehind(err), "%v", err)
 }
 
-// A box that a peer brought further than a stale platform shows stays there, and
-// accepts nothing on top of the old log.
+// A box that got newer entries from a peer than a stale platform returns must keep
+// them, and must not append to the old log.
 func TestPeersAheadOfAStalePlatform(t *testing.T) {
 	p := standin.New()
 	ahead := newTestStore(p)
@@ -116,18 +116,18 @@
 	p.Restore(old)
 	require.True(t, objlog.IsBehind(behind.Refresh(t.Context())))
 	require.Equal(t, uint64(2), behind.Current().Generation)
-	_, err := behind.Confirm(t.Context(), "c", 2, classChange("c"))
+	_, err := behind.Confirm(t.Context(), "c", 2, acceptedClass("c"))
 	require.True(t, objlog.IsBehind(err), "%v", err)
 }
 
-func TestEntriesOutOfOrder(t *testing.T) {
+func TestApplyEntryRejectsGapsAndIgnoresDuplicates(t *testing.T) {
 	p := standin.New()
 	from, to := newTestStore(p), newTestStore(p)
 	for i := range 3 {
 		confirm(t, from, fmt.Sprint("p", i))
 	}
 	entries, _ := from.EntriesSince(0)
-	require.Error(t, to.ApplyEntry(entries[2]), "a gap must be refused")
+	require.Error(t, to.ApplyEntry(entries[2]), "applying an entry after a gap must fail")
 	for _, e := range append(entries, entries...) {
 		require.NoError(t, to.ApplyEntry(e))
 	}
@@ -156,19 +156,19 @@
 	})
 }
 
-// configStep is one step of a history of boxes that follow the configuration.
-type configStep struct {
+// historyStep is one step of a generated history of three boxes.
+type historyStep struct {
 	Kind   string
 	Box    int
 	From   int
 	Faults standin.Faults
 }
 
-// No history of lost answers, stale reads, outages, pulls from peers and restarts
-// takes an accepted generation back, or gives two boxes different ones.
+// Under any sequence of lost responses, stale reads, outages, pulls from peers and
+// restarts, no accepted generation may be lost and all boxes must converge.
 func TestAcceptedStaysAccepted(t *testing.T) {
-	gen := rapid.Custom(func(t *rapid.T) configStep {
-		return configStep{
+	gen := rapid.Custom(func(t *rapid.T) historyStep {
+		return historyStep{
 			Kind: rapid.SampledFrom([]string{"confirm", "confirm", "refresh", "pull", "restart", "faults", "heal"}).Draw(t, "kind"),
 			Box:  rapid.IntRange(0, 2).Draw(t, "box"),
 			From: rapid.IntRange(0, 2).Draw(t, "from"),
@@ -193,9 +193,9 @@
 				switch st.Kind {
 				case "confirm":
 					id := fmt.Sprint("p", i)
-					if g, err := s.Confirm(ctx, id, before, classChange(id)); err == nil {
+					if g, err := s.Confirm(ctx, id, before, acceptedClass(id)); err == nil {
 						if accepted[g] != "" {
-							problem = fmt.Sprintf("generation %d was given to %s and %s", g, accepted[g], id)
+							problem = fmt.Sprintf("generation %d was assigned to both %s and %s", g, accepted[g], id)
 						}
 						accepted[g] = id
 					}
@@ -216,7 +216,7 @@
 				}
 				cancel()
 				if now := boxes[st.Box].Current().Generation; st.Kind != "restart" && now < before {
-					problem = fmt.Sprintf("box went from generation %d to %d", before, now)
+					problem = fmt.Sprintf("box reverted from generation %d to %d", before, now)
 				}
 			}
 			p.SetFaults(standin.Faults{})
@@ -232,7 +232,7 @@
 		}
 		for g, id := range accepted {
 			_, exists := boxes[0].Current().Class(id)
-			require.True(rt, exists, "%s, accepted as generation %d, is gone", id, g)
+			require.True(rt, exists, "plan %s was accepted as generation %d but is missing", id, g)
 		}
 	})
 }
@@ -248,7 +248,7 @@
 	require.False(t, ok)
 }
 
-func TestLargeServicesAreSplit(t *testing.T) {
+func TestLargeServicesAreSplitByHall(t *testing.T) {
 	var c Change
 	c.Services = []Service{{Name: "s", Kind: ServiceKindEngine}}
 	for i := range 200 {
