--- a/pkg/intent/doc.go
+++ b/pkg/intent/doc.go
@@ -1,6 +1,7 @@
-// Package intent turns what operators state into a plan of what will change.
+// Package intent parses operators' intents and turns them into plans.
 //
-// An intent is an INI text. Each section sets one item whole; items it does not
-// name stay as they are; "remove = yes" removes one. A plan names the generation
-// it was made on, so that it is accepted only if nothing else was accepted since.
+// An intent is INI text. Each section defines one item completely; items that the
+// intent does not mention are left unchanged; "remove = yes" removes an item. A
+// plan records the generation it is based on and is accepted only if that is
+// still the current generation.
 package intent
--- a/pkg/intent/intent_test.go
+++ b/pkg/intent/intent_test.go
@@ -22,7 +22,7 @@
 	return c
 }
 
-func TestExampleIsPlannedAndAppliesOnce(t *testing.T) {
+func TestReapplyingAnIntentChangesNothing(t *testing.T) {
 	c := parseExample(t)
 	p, err := NewPlan(config.NewState(), c)
 	require.NoError(t, err)
@@ -31,11 +31,11 @@
 	require.NotEmpty(t, p.Warnings)
 	st := config.NewState().Apply(p.Change)
 	_, err = NewPlan(st, c)
-	var nothing *NoChangeError
-	require.ErrorAs(t, err, &nothing)
+	var noChange *NoChangeError
+	require.ErrorAs(t, err, &noChange)
 }
 
-func TestPlanShowsWhatDiffers(t *testing.T) {
+func TestPlanListsDifferences(t *testing.T) {
 	st := config.NewState().Apply(parseExample(t))
 	c, err := Parse([]byte("[class counter]\ntier = 1\nfirst-token = 2s\nbetween-tokens = 37ms\ndeadline = 20s\nfloor = 5%\nplaces = 100\n[server mohinh-1]\nremove = yes\n"))
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 	require.Contains(t, p.Warnings, "server mohinh-1 is removed while active: set state = leaving first, so that what runs there is counted to its end")
 }
 
-func TestAlteredPlanIsRefused(t *testing.T) {
+func TestVerifyRejectsModifiedPlan(t *testing.T) {
 	p, err := NewPlan(config.NewState(), parseExample(t))
 	require.NoError(t, err)
 	p.Change.Classes[0].Tier = 9
@@ -57,7 +57,7 @@
 	require.ErrorAs(t, p.Verify(), &tampered)
 }
 
-func TestInvalidPlansNameEveryFault(t *testing.T) {
+func TestValidationErrorListsEveryViolation(t *testing.T) {
 	c, err := Parse([]byte(`
 [class a]
 tier = 1
@@ -97,14 +97,14 @@
 	require.ElementsMatch(t, []string{"*", "c", "s", "t", "v", "w", "o"}, names)
 }
 
-func TestBadIntentNamesEveryProblem(t *testing.T) {
+func TestParseReportsEveryProblem(t *testing.T) {
 	_, err := Parse([]byte("[class X]\ntier = 0\nfloor = 5\ndeadline = soon\nflor = 1\n[organisation o]\nkey-sha256 = secret\n[queue q]\n"))
-	var e *inifile.Error
-	require.ErrorAs(t, err, &e)
-	require.Len(t, e.Problems, 8, "%v", e)
+	var problems *inifile.Error
+	require.ErrorAs(t, err, &problems)
+	require.Len(t, problems.Problems, 8, "%v", problems)
 }
 
-func TestDurationsKeepTheirUnits(t *testing.T) {
+func TestParseDurationUnits(t *testing.T) {
 	c := parseExample(t)
 	require.Equal(t, 37*time.Millisecond, c.Classes[0].Between)
 }
--- a/pkg/intent/parse.go
+++ b/pkg/intent/parse.go
@@ -9,7 +9,7 @@
 	"headhill.example/headhill/pkg/inifile"
 )
 
-// Defaults for what an intent leaves out.
+// Default values of omitted keys.
 const (
 	defaultFloor       = 0.03
 	defaultFloorPlaces = 4
@@ -21,38 +21,39 @@
 
 const maxDuration = time.Hour
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$`)
 
 const nameRemedy = "name it with 1 to 64 of a-z, 0-9, dot, dash and underscore"
 
-// Parse reads an intent. All its faults come in one *inifile.Error.
+// Parse parses an intent. All problems are returned in one *inifile.Error; text
+// that is not INI returns an *inifile.SyntaxError.
 func Parse(text []byte) (config.Change, error) {
 	f, err := inifile.Load("intent", text)
 	if err != nil {
 		return config.Change{}, err
 	}
 	var c config.Change
-	for _, s := range items(f, config.KindClass, &c) {
+	for _, s := range sectionsToSet(f, config.KindClass, &c) {
 		c.Classes = append(c.Classes, readClass(s))
 	}
-	for _, s := range items(f, config.KindOrganisation, &c) {
+	for _, s := range sectionsToSet(f, config.KindOrganisation, &c) {
 		c.Organisations = append(c.Organisations, readOrganisation(s))
 	}
-	for _, s := range items(f, config.KindService, &c) {
+	for _, s := range sectionsToSet(f, config.KindService, &c) {
 		c.Services = append(c.Services, readService(s))
 	}
-	for _, s := range items(f, config.KindServer, &c) {
+	for _, s := range sectionsToSet(f, config.KindServer, &c) {
 		c.Servers = append(c.Servers, readServer(s))
 	}
 	return c, f.Finish()
 }
 
-// items returns the sections of a kind that set an item, and notes in c the ones
-// that remove one.
-func items(f *inifile.File, kind config.ItemKind, c *config.Change) []*inifile.Section {
+// sectionsToSet returns the sections that define an item of the given kind. Items
+// to remove are added to c.
+func sectionsToSet(f *inifile.File, kind config.ItemKind, c *config.Change) []*inifile.Section {
 	var list []*inifile.Section
 	for _, s := range f.NamedSections(string(kind)) {
-		if !nameForm.MatchString(s.Name) {
+		if !namePattern.MatchString(s.Name) {
 			s.AddProblem("", s.Name, nameRemedy)
 		}
 		remove := false
--- a/pkg/intent/plan.go
+++ b/pkg/intent/plan.go
@@ -10,58 +10,61 @@
 	"headhill.example/headhill/pkg/config"
 )
 
-// Verbs of a plan's lines.
+// Verbs of an ItemDiff.
 const (
 	VerbAdd    = "add"
 	VerbChange = "change"
 	VerbRemove = "remove"
 )
 
-// ItemDiff is one item that a plan changes.
+// ItemDiff describes the change of one item.
 type ItemDiff struct {
 	Verb string          `json:"verb"`
 	Kind config.ItemKind `json:"kind"`
 	Name string          `json:"name"`
-	// Fields lists what differs, for a change.
+	// Fields lists the fields that differ; empty unless Verb is VerbChange.
 	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// FieldDiff is one difference.
+// FieldDiff is the old and new value of a field. Operators see the Go names of the
+// fields of package config here.
 type FieldDiff struct {
 	Name string `json:"name"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
 }
 
-// Plan is what an intent will change. It carries all that confirming it needs,
-// so that any box can confirm it.
+// Plan is the change that an intent leads to. It is self-contained, so that any
+// box can confirm it.
 type Plan struct {
-	ID       string        `json:"id"`
+	// ID is a hash of Base and Change.
+	ID string `json:"id"`
+	// Base is the generation that the plan was computed for.
 	Base     uint64        `json:"base_generation"`
 	Change   config.Change `json:"change"`
 	Diffs    []ItemDiff    `json:"lines"`
 	Warnings []string      `json:"warnings,omitempty"`
 }
 
-// TamperedError says that a plan's content does not match its ID.
+// TamperedError reports a plan whose content does not match its ID.
 type TamperedError struct{}
 
 func (e *TamperedError) Error() string {
 	return "the plan was altered after it was made: plan again"
 }
 
-// NoChangeError says that an intent changes nothing.
+// NoChangeError reports an intent that matches the current configuration.
 type NoChangeError struct{ Generation uint64 }
 
 func (e *NoChangeError) Error() string {
 	return fmt.Sprintf("the intent says what generation %d already has: there is nothing to confirm", e.Generation)
 }
 
-// NewPlan plans a change on a state. The error is *config.ValidationError,
-// *NoChangeError or *UnknownItemError.
+// NewPlan returns the plan that leads from st to the wanted items. The error is a
+// *config.ValidationError, *NoChangeError or *UnknownItemError.
 func NewPlan(st *config.State, wanted config.Change) (Plan, error) {
 	p := Plan{Base: st.Generation}
-	if err := diff(st, wanted, &p); err != nil {
+	if err := diffState(st, wanted, &p); err != nil {
 		return Plan{}, err
 	}
 	if p.Change.Empty() {
@@ -76,7 +79,7 @@
 	return p, nil
 }
 
-// Verify tells whether a plan is as it was made.
+// Verify returns a *TamperedError if the plan's content does not match its ID.
 func (p *Plan) Verify() error {
 	if p.ID == "" || p.ID != planID(p.Base, p.Change) {
 		return &TamperedError{}
@@ -85,7 +88,7 @@
 }
 
 func planID(base uint64, c config.Change) string {
-	// Plain structs always encode.
+	// Marshal cannot fail for these types.
 	b, _ := json.Marshal(c)
 	h := sha256.New()
 	fmt.Fprintf(h, "%d\n", base)
@@ -93,29 +96,30 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// UnknownItemError says that an intent removes what does not exist.
+// UnknownItemError reports that an intent removes an item that does not exist.
 type UnknownItemError struct{ config.Ref }
 
 func (e *UnknownItemError) Error() string {
 	return fmt.Sprintf("%s %s does not exist: there is nothing to remove; check the name", e.Kind, e.Name)
 }
 
-func diff(st *config.State, w config.Change, p *Plan) error {
-	for _, r := range w.Remove {
-		if !exists(st, r) {
+// diffState fills in the change and the item diffs of p.
+func diffState(st *config.State, wanted config.Change, p *Plan) error {
+	for _, r := range wanted.Remove {
+		if !itemExists(st, r) {
 			return &UnknownItemError{Ref: r}
 		}
 		p.Change.Remove = append(p.Change.Remove, r)
 		p.Diffs = append(p.Diffs, ItemDiff{Verb: VerbRemove, Kind: r.Kind, Name: r.Name})
 	}
-	p.Change.Classes = diffItems(p, config.KindClass, w.Classes, st.Class, func(v config.Class) string { return v.Name })
-	p.Change.Organisations = diffItems(p, config.KindOrganisation, w.Organisations, st.Organisation, func(v config.Organisation) string { return v.Name })
-	p.Change.Services = diffItems(p, config.KindService, w.Services, st.Service, func(v config.Service) string { return v.Name })
-	p.Change.Servers = diffItems(p, config.KindServer, w.Servers, st.Server, func(v config.Server) string { return v.Name })
+	p.Change.Classes = diffItems(p, config.KindClass, wanted.Classes, st.Class, func(v config.Class) string { return v.Name })
+	p.Change.Organisations = diffItems(p, config.KindOrganisation, wanted.Organisations, st.Organisation, func(v config.Organisation) string { return v.Name })
+	p.Change.Services = diffItems(p, config.KindService, wanted.Services, st.Service, func(v config.Service) string { return v.Name })
+	p.Change.Servers = diffItems(p, config.KindServer, wanted.Servers, st.Server, func(v config.Server) string { return v.Name })
 	return nil
 }
 
-func exists(st *config.State, r config.Ref) bool {
+func itemExists(st *config.State, r config.Ref) bool {
 	ok := false
 	switch r.Kind {
 	case config.KindClass:
@@ -130,27 +134,28 @@
 	return ok
 }
 
-// diffItems keeps the items that differ from the state and writes their lines.
+// diffItems returns the wanted items that differ from the current ones, and adds
+// their diffs to p.
 func diffItems[V any](p *Plan, kind config.ItemKind, wanted []V, find func(string) (V, bool), name func(V) string) []V {
-	var kept []V
+	var changed []V
 	for _, v := range wanted {
 		old, ok := find(name(v))
-		l := ItemDiff{Verb: VerbAdd, Kind: kind, Name: name(v)}
+		d := ItemDiff{Verb: VerbAdd, Kind: kind, Name: name(v)}
 		if ok {
-			l.Verb = VerbChange
-			l.Fields = fields(old, v)
-			if len(l.Fields) == 0 {
+			d.Verb = VerbChange
+			d.Fields = diffFields(old, v)
+			if len(d.Fields) == 0 {
 				continue
 			}
 		}
-		p.Diffs = append(p.Diffs, l)
-		kept = append(kept, v)
+		p.Diffs = append(p.Diffs, d)
+		changed = append(changed, v)
 	}
-	return kept
+	return changed
 }
 
-// fields lists the fields that differ between two items of one type.
-func fields(old, new any) []FieldDiff {
+// diffFields returns the fields that differ between two items of the same type.
+func diffFields(old, new any) []FieldDiff {
 	var list []FieldDiff
 	a, b := reflect.ValueOf(old), reflect.ValueOf(new)
 	for i := range a.NumField() {
--- a/pkg/intent/warnings.go
+++ b/pkg/intent/warnings.go
@@ -7,8 +7,9 @@
 	"headhill.example/headhill/pkg/config"
 )
 
-// warnings says what an operator should know before confirming.
-func warnings(old, next *config.State, lines []ItemDiff) []string {
+// warnings returns the consequences that an operator should know of before
+// confirming.
+func warnings(old, next *config.State, diffs []ItemDiff) []string {
 	var w []string
 	w = append(w, floorWarning(next))
 	for _, c := range next.Classes() {
@@ -17,14 +18,14 @@
 	for _, s := range next.Services() {
 		w = append(w, serviceWarnings(next, s)...)
 	}
-	for _, l := range lines {
-		w = append(w, lineWarnings(old, l)...)
+	for _, d := range diffs {
+		w = append(w, diffWarnings(old, d)...)
 	}
 	return slices.DeleteFunc(w, func(s string) bool { return s == "" })
 }
 
-// floorWarning states the price of the floors: the one place where a higher tier
-// waits for a lower one.
+// floorWarning reports how much capacity the floors reserve. Only through floors
+// can a higher tier wait for a lower one.
 func floorWarning(st *config.State) string {
 	sum, places := 0.0, 0
 	for _, c := range st.Classes() {
@@ -79,15 +80,15 @@
 	return w
 }
 
-func lineWarnings(old *config.State, l ItemDiff) []string {
+func diffWarnings(old *config.State, d ItemDiff) []string {
 	switch {
-	case l.Verb == VerbRemove && l.Kind == config.KindServer:
-		s, _ := old.Server(l.Name)
+	case d.Verb == VerbRemove && d.Kind == config.KindServer:
+		s, _ := old.Server(d.Name)
 		if s.State == config.ServerStateActive {
-			return []string{fmt.Sprintf("server %s is removed while active: set state = leaving first, so that what runs there is counted to its end", l.Name)}
+			return []string{fmt.Sprintf("server %s is removed while active: set state = leaving first, so that what runs there is counted to its end", d.Name)}
 		}
-	case l.Verb == VerbRemove && l.Kind == config.KindOrganisation:
-		return []string{fmt.Sprintf("organisation %s is removed: its callers get 401 at once", l.Name)}
+	case d.Verb == VerbRemove && d.Kind == config.KindOrganisation:
+		return []string{fmt.Sprintf("organisation %s is removed: its callers get 401 at once", d.Name)}
 	}
 	return nil
 }
