--- a/pkg/inifile/inifile.go
+++ b/pkg/inifile/inifile.go
@@ -1,5 +1,5 @@
-// Package inifile reads checked values from INI files. Every fault of a file is
-// collected, so that its writer sees them all at once.
+// Package inifile reads and validates values from INI files. All problems of a
+// file are collected and reported together.
 package inifile
 
 import (
@@ -13,13 +13,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one fault of a file.
+// Problem is one invalid value, key or section of a file.
 type Problem struct {
 	Section string
 	Key     string
-	// Value is what was read.
+	// Value is the text found in the file.
 	Value string
-	// Remedy says what to write instead.
+	// Remedy tells the user what to write instead.
 	Remedy string
 }
 
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("[%s] %s = %q: %s", p.Section, p.Key, p.Value, p.Remedy)
 }
 
-// Error lists every fault of a file.
+// Error lists all problems of a file.
 type Error struct {
 	File     string
 	Problems []Problem
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// SyntaxError says that a file is not INI, or can't be read.
+// SyntaxError reports a file that cannot be read or is not valid INI.
 type SyntaxError struct {
 	File  string
 	Cause error
@@ -54,21 +54,23 @@
 
 func (e *SyntaxError) Unwrap() error { return e.Cause }
 
-// MaxSize bounds a file, in bytes.
-const MaxSize = 8 << 20
+// MaxSizeBytes is the maximum size of content passed to Load as []byte.
+const MaxSizeBytes = 8 << 20
 
-// File is a parsed file and the faults found in it so far.
+// File is a parsed INI file together with the problems found in it so far.
 type File struct {
 	name     string
 	ini      *ini.File
 	problems []Problem
-	seen     map[string]bool
+	// requested holds the sections that the caller has asked for.
+	requested map[string]bool
 }
 
-// Load parses a source: a file's path, or its content as []byte.
+// Load parses source, which is a file path or the content as []byte. The name
+// is used in error messages.
 func Load(name string, source any) (*File, error) {
-	if b, ok := source.([]byte); ok && len(b) > MaxSize {
-		return nil, &SyntaxError{File: name, Cause: fmt.Errorf("%d bytes, at most %d are read", len(b), MaxSize)}
+	if b, ok := source.([]byte); ok && len(b) > MaxSizeBytes {
+		return nil, &SyntaxError{File: name, Cause: fmt.Errorf("%d bytes, at most %d are read", len(b), MaxSizeBytes)}
 	}
 	opts := ini.LoadOptions{
 		AllowNonUniqueSections:  true,
@@ -80,22 +82,22 @@
 	if err != nil {
 		return nil, &SyntaxError{File: name, Cause: err}
 	}
-	return &File{name: name, ini: f, seen: make(map[string]bool)}, nil
+	return &File{name: name, ini: f, requested: make(map[string]bool)}, nil
 }
 
-// Section returns the section of this name, to be read by its methods. A missing
-// section reads as an empty one.
+// Section returns the section with the given name. A missing section is treated
+// as empty.
 func (f *File) Section(name string) *Section {
-	f.seen[name] = true
+	f.requested[name] = true
 	s, err := f.ini.GetSection(name)
 	if err != nil {
 		s = nil
 	}
-	return &Section{file: f, ini: s, name: name}
+	return &Section{file: f, ini: s, header: name}
 }
 
-// NamedSections returns the sections "kind NAME", in file order. A name that stands twice
-// is a problem.
+// NamedSections returns the sections "[kind NAME]" in file order. A duplicate
+// name is reported as a problem.
 func (f *File) NamedSections(kind string) []*Section {
 	var list []*Section
 	names := make(map[string]bool)
@@ -104,30 +106,30 @@
 		if !ok {
 			continue
 		}
-		f.seen[s.Name()] = true
+		f.requested[s.Name()] = true
 		if names[name] {
 			f.problems = append(f.problems, Problem{Section: s.Name(), Remedy: "the section stands twice: merge them"})
 			continue
 		}
 		names[name] = true
-		list = append(list, &Section{file: f, ini: s, name: s.Name(), Name: strings.TrimSpace(name)})
+		list = append(list, &Section{file: f, ini: s, header: s.Name(), Name: strings.TrimSpace(name)})
 	}
 	return list
 }
 
-// AddProblem adds a problem that the caller found.
+// AddProblem records a problem found by the caller.
 func (f *File) AddProblem(section, key, value, remedy string) {
 	f.problems = append(f.problems, Problem{Section: section, Key: key, Value: value, Remedy: remedy})
 }
 
-// Finish returns all problems as an *Error, or nil. Sections nobody asked for are
-// problems too.
+// Finish returns all problems as an *Error, or nil if there are none. Sections
+// that were never requested are reported as unknown.
 func (f *File) Finish() error {
 	for _, s := range f.ini.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
-		if !f.seen[s.Name()] {
+		if !f.requested[s.Name()] {
 			f.AddProblem(s.Name(), "", "", "unknown section: remove it or check its spelling")
 		}
 	}
@@ -137,48 +139,50 @@
 	return &Error{File: f.name, Problems: f.problems}
 }
 
-// Section reads one section's keys. Its reading methods leave the default in
-// place when the key is absent.
+// Section reads the keys of one section. Its methods leave the destination
+// unchanged if the key is absent or invalid, except where stated.
 type Section struct {
 	file *File
 	ini  *ini.Section
-	name string
-	// Name is what follows the kind in a "kind NAME" section.
+	// header is the full section name, as in "kind NAME".
+	header string
+	// Name is the NAME part of a "kind NAME" section.
 	Name string
-	read []string
+	// knownKeys are the keys that the caller has read.
+	knownKeys []string
 }
 
 func (s *Section) lookup(key string) (string, bool) {
-	s.read = append(s.read, key)
+	s.knownKeys = append(s.knownKeys, key)
 	if s.ini == nil || !s.ini.HasKey(key) {
 		return "", false
 	}
 	return strings.TrimSpace(s.ini.Key(key).String()), true
 }
 
-// AddProblem reports a fault of a key.
+// AddProblem records a problem with a key of the section.
 func (s *Section) AddProblem(key, value, remedy string) {
-	s.file.AddProblem(s.name, key, value, remedy)
+	s.file.AddProblem(s.header, key, value, remedy)
 }
 
-// Has tells whether the key stands in the section.
+// Has reports whether the section contains the key.
 func (s *Section) Has(key string) bool { return s.ini != nil && s.ini.HasKey(key) }
 
-// Require reports a key that is absent or empty.
+// Require records a problem if the key is absent or empty.
 func (s *Section) Require(key, remedy string) {
 	if !s.Has(key) || strings.TrimSpace(s.ini.Key(key).String()) == "" {
 		s.AddProblem(key, "", "required: "+remedy)
 	}
 }
 
-// String reads a text.
+// String reads a string.
 func (s *Section) String(key string, v *string) {
 	if t, ok := s.lookup(key); ok {
 		*v = t
 	}
 }
 
-// OneOf reads a text that must be among options.
+// OneOf reads a string that must be one of options.
 func (s *Section) OneOf(key string, v *string, options ...string) {
 	t, ok := s.lookup(key)
 	if !ok {
@@ -191,63 +195,63 @@
 	*v = t
 }
 
-// Int reads a whole number within [least, most].
-func (s *Section) Int(key string, v *int, least, most int) {
+// Int reads an integer in the range [lo, hi].
+func (s *Section) Int(key string, v *int, lo, hi int) {
 	t, ok := s.lookup(key)
 	if !ok {
 		return
 	}
 	n, err := strconv.Atoi(t)
-	if err != nil || n < least || n > most {
-		s.AddProblem(key, t, fmt.Sprintf("write a whole number from %d to %d", least, most))
+	if err != nil || n < lo || n > hi {
+		s.AddProblem(key, t, fmt.Sprintf("write a whole number from %d to %d", lo, hi))
 		return
 	}
 	*v = n
 }
 
-// Float reads a number within [least, most].
-func (s *Section) Float(key string, v *float64, least, most float64) {
+// Float reads a number in the range [lo, hi].
+func (s *Section) Float(key string, v *float64, lo, hi float64) {
 	t, ok := s.lookup(key)
 	if !ok {
 		return
 	}
 	n, err := strconv.ParseFloat(t, 64)
-	if err != nil || !(n >= least && n <= most) {
-		s.AddProblem(key, t, fmt.Sprintf("write a number from %g to %g", least, most))
+	if err != nil || !(n >= lo && n <= hi) {
+		s.AddProblem(key, t, fmt.Sprintf("write a number from %g to %g", lo, hi))
 		return
 	}
 	*v = n
 }
 
-// Percent reads a share, written as "5%", into a fraction within [least, most].
-func (s *Section) Percent(key string, v *float64, least, most float64) {
+// Percent reads a percentage such as "5%" as a fraction in the range [lo, hi].
+func (s *Section) Percent(key string, v *float64, lo, hi float64) {
 	t, ok := s.lookup(key)
 	if !ok {
 		return
 	}
 	n, err := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(t, "%")), 64)
-	if err != nil || !strings.HasSuffix(t, "%") || !(n/100 >= least && n/100 <= most) {
-		s.AddProblem(key, t, fmt.Sprintf("write a share from %g%% to %g%%", least*100, most*100))
+	if err != nil || !strings.HasSuffix(t, "%") || !(n/100 >= lo && n/100 <= hi) {
+		s.AddProblem(key, t, fmt.Sprintf("write a share from %g%% to %g%%", lo*100, hi*100))
 		return
 	}
 	*v = n / 100
 }
 
-// Duration reads a time such as "1.3s" or "37ms" within [least, most].
-func (s *Section) Duration(key string, v *time.Duration, least, most time.Duration) {
+// Duration reads a duration such as "1.3s" or "37ms" in the range [lo, hi].
+func (s *Section) Duration(key string, v *time.Duration, lo, hi time.Duration) {
 	t, ok := s.lookup(key)
 	if !ok {
 		return
 	}
 	d, err := time.ParseDuration(t)
-	if err != nil || d < least || d > most {
-		s.AddProblem(key, t, fmt.Sprintf("write a time with its unit, from %s to %s", least, most))
+	if err != nil || d < lo || d > hi {
+		s.AddProblem(key, t, fmt.Sprintf("write a time with its unit, from %s to %s", lo, hi))
 		return
 	}
 	*v = d
 }
 
-// Bool reads yes or no.
+// Bool reads "yes" or "no".
 func (s *Section) Bool(key string, v *bool) {
 	t, ok := s.lookup(key)
 	if !ok {
@@ -263,7 +267,7 @@
 	}
 }
 
-// List reads words separated by blanks or commas.
+// List reads words separated by spaces, tabs or commas.
 func (s *Section) List(key string, v *[]string) {
 	t, ok := s.lookup(key)
 	if !ok {
@@ -272,32 +276,34 @@
 	*v = strings.FieldsFunc(t, func(r rune) bool { return r == ',' || r == ' ' || r == '\t' })
 }
 
-// AddrPort reads an IP address and port. Port 0 is allowed where zero is true.
-func (s *Section) AddrPort(key string, v *string, zero bool) {
+// AddrPort reads an IP address and port. Port 0 is accepted only if allowZeroPort
+// is set. The destination is set even if the address is invalid.
+func (s *Section) AddrPort(key string, v *string, allowZeroPort bool) {
 	t, ok := s.lookup(key)
 	if !ok {
 		return
 	}
-	s.checkAddr(key, t, zero)
+	s.checkAddrPort(key, t, allowZeroPort)
 	*v = t
 }
 
-// AddrPorts reads a list of addresses.
+// AddrPorts reads a list of IP addresses with non-zero ports. The destination is
+// set even if an address is invalid.
 func (s *Section) AddrPorts(key string, v *[]string) {
 	s.List(key, v)
 	for _, a := range *v {
-		s.checkAddr(key, a, false)
+		s.checkAddrPort(key, a, false)
 	}
 }
 
-func (s *Section) checkAddr(key, t string, zero bool) {
+func (s *Section) checkAddrPort(key, t string, allowZeroPort bool) {
 	a, err := netip.ParseAddrPort(t)
-	if err != nil || (a.Port() == 0 && !zero) {
+	if err != nil || (a.Port() == 0 && !allowZeroPort) {
 		s.AddProblem(key, t, "write an IP address and port, as 192.0.2.7:8443")
 	}
 }
 
-// Values reads every key of the section as text.
+// Values returns all keys of the section with their values.
 func (s *Section) Values() map[string]string {
 	m := make(map[string]string)
 	if s.ini == nil {
@@ -305,19 +311,19 @@
 	}
 	for _, k := range s.ini.Keys() {
 		m[k.Name()] = strings.TrimSpace(k.String())
-		s.read = append(s.read, k.Name())
+		s.knownKeys = append(s.knownKeys, k.Name())
 	}
 	return m
 }
 
-// ReportUnknownKeys reports the keys of the section that nobody read.
+// ReportUnknownKeys records a problem for each key that the caller did not read.
 func (s *Section) ReportUnknownKeys() {
 	if s.ini == nil {
 		return
 	}
 	for _, k := range s.ini.Keys() {
-		if !slices.Contains(s.read, k.Name()) {
-			s.AddProblem(k.Name(), k.String(), "unknown key: remove it or check its spelling; known here: "+strings.Join(s.read, ", "))
+		if !slices.Contains(s.knownKeys, k.Name()) {
+			s.AddProblem(k.Name(), k.String(), "unknown key: remove it or check its spelling; known here: "+strings.Join(s.knownKeys, ", "))
 		}
 	}
 }
