--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' side of a box: the intent API, health and
-// metrics. It listens on a port of its own, which callers don't reach.
+// Package admin implements the operators' HTTP interface of a box: planning and
+// confirming configuration changes, status, health checks and metrics. It is
+// served on a separate port that callers cannot reach.
 package admin
 
 import (
@@ -28,25 +29,27 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// Fleet asks every box for its status.
+// Fleet collects the status of all boxes.
 type Fleet interface {
 	Status(ctx context.Context) []api.BoxStatus
 }
 
-// Deps are what the operators' side is built on.
+// Deps are the dependencies of a Handler.
 type Deps struct {
-	// Operators maps names to the hex SHA-256 of their tokens.
+	// Operators maps operator names to the hex SHA-256 hashes of their tokens.
 	Operators map[string]string
 	Store     *config.Store
 	Fleet     Fleet
 	Metrics   *telemetry.Metrics
 	Logger    log.Logger
-	Ready     func() bool
-	// AwaitReplication waits a moment until other boxes have a generation as well.
+	// Ready reports whether the box is ready.
+	Ready func() bool
+	// AwaitReplication waits, for a bounded time, until other boxes have applied a
+	// generation.
 	AwaitReplication func(ctx context.Context, generation uint64)
 }
 
-// Handler answers operators.
+// Handler serves the operators' interface.
 type Handler struct {
 	Deps
 	router *httprouter.Router
@@ -63,14 +66,14 @@
 	pathMetrics = "/metrics"
 )
 
-// NewHandler returns the operators' handler.
+// NewHandler returns a Handler with all routes registered.
 func NewHandler(d Deps) *Handler {
 	h := &Handler{Deps: d, router: httprouter.New()}
-	h.router.POST(PathPlan, h.operator(h.plan))
-	h.router.POST(PathConfirm, h.operator(h.confirm))
-	h.router.GET(PathConfig, h.operator(h.config))
-	h.router.GET(PathStatus, h.operator(h.status))
-	h.router.GET(PathRollout+":generation", h.operator(h.rollout))
+	h.router.POST(PathPlan, h.requireOperator(h.plan))
+	h.router.POST(PathConfirm, h.requireOperator(h.confirm))
+	h.router.GET(PathConfig, h.requireOperator(h.config))
+	h.router.GET(PathStatus, h.requireOperator(h.status))
+	h.router.GET(PathRollout+":generation", h.requireOperator(h.rollout))
 	h.router.GET(pathHealth, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		_, _ = io.WriteString(w, "ok\n")
 	})
@@ -92,17 +95,19 @@
 	}
 }
 
-// call is an authenticated operator's call; it returns the reply.
-type call func(r *http.Request, operator string, p httprouter.Params) (any, error)
+// operatorCall handles an authenticated operator's request and returns the reply,
+// which is encoded as JSON.
+type operatorCall func(r *http.Request, operator string, p httprouter.Params) (any, error)
 
-// ForbiddenError says that a call carries no operator's token.
+// ForbiddenError reports a request without a valid operator token.
 type ForbiddenError struct{}
 
 func (e *ForbiddenError) Error() string {
 	return "no operator has this token: send Authorization: Bearer TOKEN, and put the token's hash under [operators] in every box's settings"
 }
 
-func (h *Handler) operator(c call) httprouter.Handle {
+// requireOperator wraps c with authentication, error replies and JSON encoding.
+func (h *Handler) requireOperator(c operatorCall) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		name, ok := h.authenticate(r)
 		if !ok {
@@ -111,7 +116,7 @@
 		}
 		reply, err := c(r, name, p)
 		if err != nil {
-			level.Warn(h.Logger).Log("msg", "operator's call failed", "operator", name, "path", r.URL.Path, "err", err)
+			level.Warn(h.Logger).Log("msg", "operator request failed", "operator", name, "path", r.URL.Path, "err", err)
 			writeError(w, err)
 			return
 		}
@@ -120,7 +125,8 @@
 	}
 }
 
-// authenticate compares with every operator's hash, in constant time each.
+// authenticate returns the operator whose token the request carries. Each hash is
+// compared in constant time, and all are compared.
 func (h *Handler) authenticate(r *http.Request) (name string, ok bool) {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || token == "" {
@@ -136,42 +142,44 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	status, typ := kind(err)
+	status, typ := classifyError(err)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(api.AdminError{Type: typ, Message: err.Error()})
 }
 
-// kind maps an error to its HTTP status and its type for programs.
-func kind(err error) (status int, typ string) {
+// classifyError maps an error to its HTTP status and machine-readable type.
+func classifyError(err error) (status int, typ string) {
 	switch {
-	case as[*ForbiddenError](err):
+	case isError[*ForbiddenError](err):
 		return http.StatusUnauthorized, "unauthorized"
-	case as[*inifile.Error](err), as[*inifile.SyntaxError](err), as[*badBodyError](err):
+	case isError[*inifile.Error](err), isError[*inifile.SyntaxError](err), isError[*badBodyError](err):
 		return http.StatusBadRequest, "bad_intent"
-	case as[*config.ValidationError](err), as[*intent.UnknownItemError](err):
+	case isError[*config.ValidationError](err), isError[*intent.UnknownItemError](err):
 		return http.StatusUnprocessableEntity, "invalid"
-	case as[*intent.NoChangeError](err):
+	case isError[*intent.NoChangeError](err):
 		return http.StatusConflict, "nothing_to_change"
-	case as[*intent.TamperedError](err):
+	case isError[*intent.TamperedError](err):
 		return http.StatusBadRequest, "altered_plan"
-	case as[*config.ConflictError](err), as[*config.PlanExpiredError](err):
+	case isError[*config.ConflictError](err), isError[*config.PlanExpiredError](err):
 		return http.StatusConflict, "raced"
-	case as[*config.UnknownOutcomeError](err):
+	case isError[*config.UnknownOutcomeError](err):
 		return http.StatusGatewayTimeout, "uncertain"
 	case objlog.IsBehind(err):
 		return http.StatusServiceUnavailable, "platform_behind"
-	case as[*config.NotReadyError](err), objectstore.IsUnavailable(err):
+	case isError[*config.NotReadyError](err), objectstore.IsUnavailable(err):
 		return http.StatusServiceUnavailable, "unavailable"
 	}
 	return http.StatusInternalServerError, "internal"
 }
 
-func as[E error](err error) bool {
+// isError reports whether err or an error that it wraps is of type E.
+func isError[E error](err error) bool {
 	var e E
 	return errors.As(err, &e)
 }
 
+// badBodyError reports a request that cannot be parsed.
 type badBodyError struct{ Cause error }
 
 func (e *badBodyError) Error() string {
@@ -180,11 +188,11 @@
 
 func (e *badBodyError) Unwrap() error { return e.Cause }
 
-// bodyMost bounds a call's body: an intent of some 40,000 organisations.
-const bodyMost = 32 << 20
+// maxBodyBytes limits the request body. It fits an intent of 40,000 organisations.
+const maxBodyBytes = 32 << 20
 
-func decode(r *http.Request, v any) error {
-	body := io.LimitReader(r.Body, bodyMost)
+func decodeBody(r *http.Request, v any) error {
+	body := io.LimitReader(r.Body, maxBodyBytes)
 	if err := json.NewDecoder(body).Decode(v); err != nil {
 		return &badBodyError{Cause: err}
 	}
@@ -193,7 +201,7 @@
 
 func (h *Handler) plan(r *http.Request, operator string, _ httprouter.Params) (any, error) {
 	var req api.PlanRequest
-	if err := decode(r, &req); err != nil {
+	if err := decodeBody(r, &req); err != nil {
 		return nil, err
 	}
 	if !h.Store.Loaded() {
@@ -203,22 +211,22 @@
 	if err != nil {
 		return nil, err
 	}
-	// A plan on an old generation could never be confirmed; a platform that is
-	// away does not hinder planning.
+	// A plan based on an old generation cannot be confirmed, so read the latest one
+	// first. If the platform is unavailable, plan on the current one.
 	if err := h.Store.Refresh(r.Context()); err != nil {
-		level.Debug(h.Logger).Log("msg", "planning on the last configuration read", "err", err)
+		level.Debug(h.Logger).Log("msg", "refreshing the configuration failed; planning on the current generation", "err", err)
 	}
 	p, err := intent.NewPlan(h.Store.Current(), wanted)
 	if err != nil {
 		return nil, err
 	}
-	level.Info(h.Logger).Log("msg", "plan made", "operator", operator, "plan", p.ID, "base", p.Base, "changes", len(p.Diffs))
+	level.Info(h.Logger).Log("msg", "plan created", "operator", operator, "plan", p.ID, "base", p.Base, "changes", len(p.Diffs))
 	return api.PlanReply{Plan: p}, nil
 }
 
 func (h *Handler) confirm(r *http.Request, operator string, _ httprouter.Params) (any, error) {
 	var req api.ConfirmRequest
-	if err := decode(r, &req); err != nil {
+	if err := decodeBody(r, &req); err != nil {
 		return nil, err
 	}
 	if err := req.Plan.Verify(); err != nil {
@@ -232,8 +240,8 @@
 	if err != nil {
 		return nil, oops.In("admin").With("plan", req.Plan.ID).Wrap(err)
 	}
-	// The operator is told only when the change would survive this box, even if
-	// the platform went away now.
+	// Reply only after the change is replicated, so that it survives a failure of
+	// this box during a platform outage.
 	h.AwaitReplication(r.Context(), g)
 	return api.ConfirmReply{Generation: g}, nil
 }
--- a/pkg/adminclient/client.go
+++ b/pkg/adminclient/client.go
@@ -1,4 +1,4 @@
-// Package adminclient calls the operators' interface of a box.
+// Package adminclient is a client of the operators' HTTP interface of a box.
 package adminclient
 
 import (
@@ -16,19 +16,19 @@
 	"headhill.example/headhill/pkg/intent"
 )
 
-// Client calls one box as one operator.
+// Client sends requests to one box on behalf of one operator.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL string
+	token   string
+	http    *http.Client
 }
 
-// New returns a client for the admin port at base, a URL.
+// New returns a client for the admin port at the URL base.
 func New(base, token string) *Client {
-	return &Client{base: strings.TrimSuffix(base, "/"), token: token, http: &http.Client{Timeout: 30 * time.Second}}
+	return &Client{baseURL: strings.TrimSuffix(base, "/"), token: token, http: &http.Client{Timeout: 30 * time.Second}}
 }
 
-// ResponseError is an error that the box answered with.
+// ResponseError is an error response of the box.
 type ResponseError struct {
 	Status int
 	api.AdminError
@@ -36,82 +36,85 @@
 
 func (e *ResponseError) Error() string { return e.Message }
 
-// UnreachableError says that the box could not be asked, or its answer was lost.
+// UnreachableError reports that the box could not be reached or its response was
+// lost. The request may have taken effect.
 type UnreachableError struct {
-	Base  string
-	Cause error
+	BaseURL string
+	Cause   error
 }
 
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("%s does not answer: %v: check --admin, or ask another box; a plan may be confirmed again, it takes effect once", e.Base, e.Cause)
+	return fmt.Sprintf("%s is unreachable: %v: check --admin or try another box; confirming a plan again is safe, it takes effect once", e.BaseURL, e.Cause)
 }
 
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-const replyMost = 256 << 20
+// maxReplyBytes limits the response body.
+const maxReplyBytes = 256 << 20
 
+// call sends body as JSON, if not nil, and decodes the response into reply.
 func (c *Client) call(ctx context.Context, method, path string, body, reply any) error {
-	var in io.Reader
+	var reqBody io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		in = bytes.NewReader(b)
+		reqBody = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, in)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reqBody)
 	if err != nil {
-		return &UnreachableError{Base: c.base, Cause: err}
+		return &UnreachableError{BaseURL: c.baseURL, Cause: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return &UnreachableError{Base: c.base, Cause: err}
+		return &UnreachableError{BaseURL: c.baseURL, Cause: err}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, replyMost))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return &UnreachableError{Base: c.base, Cause: err}
+		return &UnreachableError{BaseURL: c.baseURL, Cause: err}
 	}
 	if resp.StatusCode == http.StatusOK {
 		return json.Unmarshal(data, reply)
 	}
-	answered := &ResponseError{Status: resp.StatusCode}
-	if json.Unmarshal(data, &answered.AdminError) != nil || answered.Message == "" {
-		answered.Message = fmt.Sprintf("status %d: check that --admin names an admin port", resp.StatusCode)
+	respErr := &ResponseError{Status: resp.StatusCode}
+	if json.Unmarshal(data, &respErr.AdminError) != nil || respErr.Message == "" {
+		respErr.Message = fmt.Sprintf("status %d: check that --admin is the URL of an admin port", resp.StatusCode)
 	}
-	return answered
+	return respErr
 }
 
-// Plan asks what an intent would change.
+// Plan returns the plan for an intent, given as INI text.
 func (c *Client) Plan(ctx context.Context, text string) (intent.Plan, error) {
 	var r api.PlanReply
 	err := c.call(ctx, http.MethodPost, admin.PathPlan, api.PlanRequest{Intent: text}, &r)
 	return r.Plan, err
 }
 
-// Confirm confirms a plan and returns its generation.
+// Confirm confirms a plan and returns the generation it became.
 func (c *Client) Confirm(ctx context.Context, p intent.Plan) (uint64, error) {
 	var r api.ConfirmReply
 	err := c.call(ctx, http.MethodPost, admin.PathConfirm, api.ConfirmRequest{Plan: p}, &r)
 	return r.Generation, err
 }
 
-// Config returns the configuration in force.
+// Config returns the current configuration of the box.
 func (c *Client) Config(ctx context.Context) (api.ConfigReply, error) {
 	var r api.ConfigReply
 	err := c.call(ctx, http.MethodGet, admin.PathConfig, nil, &r)
 	return r, err
 }
 
-// Status describes the fleet.
+// Status returns the status of all boxes.
 func (c *Client) Status(ctx context.Context) (api.StatusReply, error) {
 	var r api.StatusReply
 	err := c.call(ctx, http.MethodGet, admin.PathStatus, nil, &r)
 	return r, err
 }
 
-// Rollout says which boxes have a generation in force.
+// Rollout returns which boxes have applied a generation.
 func (c *Client) Rollout(ctx context.Context, generation uint64) (api.RolloutReply, error) {
 	var r api.RolloutReply
 	err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s%d", admin.PathRollout, generation), nil, &r)
--- a/pkg/api/admin.go
+++ b/pkg/api/admin.go
@@ -5,34 +5,34 @@
 	"headhill.example/headhill/pkg/intent"
 )
 
-// PlanRequest asks what an intent would change.
+// PlanRequest requests a plan for an intent.
 type PlanRequest struct {
-	// Intent is an INI text.
+	// Intent is INI text.
 	Intent string `json:"intent"`
 }
 
-// PlanReply is the plan. Nothing takes effect until it is confirmed.
+// PlanReply returns the plan. It takes effect only when it is confirmed.
 type PlanReply struct {
 	Plan intent.Plan `json:"plan"`
 }
 
-// ConfirmRequest confirms a plan, as it was given.
+// ConfirmRequest confirms a plan. The plan must be unmodified.
 type ConfirmRequest struct {
 	Plan intent.Plan `json:"plan"`
 }
 
-// ConfirmReply says which generation the plan became.
+// ConfirmReply returns the generation that the plan became.
 type ConfirmReply struct {
 	Generation uint64 `json:"generation"`
 }
 
-// ConfigReply is the configuration in force on the answering box.
+// ConfigReply is the current configuration of the responding box.
 type ConfigReply struct {
 	Generation uint64        `json:"generation"`
 	Config     config.Change `json:"config"`
 }
 
-// BoxStatus is what one box says of itself, or why it could not be asked.
+// BoxStatus is the status of one box, or the error that occurred requesting it.
 type BoxStatus struct {
 	Box        string        `json:"box"`
 	Generation uint64        `json:"generation"`
@@ -42,29 +42,34 @@
 	Error      string        `json:"error,omitempty"`
 }
 
-// ShardStatus is a shard as its owner sees it.
+// ShardStatus is the status of a shard, as reported by its owner.
 type ShardStatus struct {
-	Shard   string            `json:"shard"`
+	Shard string `json:"shard"`
+	// Waiting is the number of waiting requests by class.
 	Waiting map[string]uint32 `json:"waiting"`
-	Running uint32            `json:"running"`
-	Free    uint32            `json:"free"`
+	// Running is the number of running requests.
+	Running uint32 `json:"running"`
+	// Free is the number of free slots.
+	Free uint32 `json:"free"`
 }
 
-// StatusReply describes the fleet as the answering box sees it.
+// StatusReply is the status of the fleet as seen by the responding box.
 type StatusReply struct {
 	Boxes []BoxStatus `json:"boxes"`
-	// Warnings name what needs an operator.
+	// Warnings are conditions that need an operator's attention.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// RolloutReply says which live boxes have a generation in force.
+// RolloutReply returns which live boxes have applied a generation.
 type RolloutReply struct {
-	Generation uint64   `json:"generation"`
-	InForce    []string `json:"in_force"`
-	Missing    []string `json:"missing"`
+	Generation uint64 `json:"generation"`
+	// InForce are the boxes that have applied the generation or a later one.
+	InForce []string `json:"in_force"`
+	// Missing are the boxes that have not, or that did not respond.
+	Missing []string `json:"missing"`
 }
 
-// AdminError is the body of an operator's call that failed.
+// AdminError is the body of an error response to an operator.
 type AdminError struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
--- a/pkg/api/doc.go
+++ b/pkg/api/doc.go
@@ -1,3 +1,3 @@
-// Package api holds the messages and headers of headhill's two HTTP interfaces:
-// the caller's and the operator's.
+// Package api defines the messages and headers of headhill's two HTTP interfaces:
+// the callers' and the operators'.
 package api
