--- a/cmd/headhillctl/cmds/cmds.go
+++ b/cmd/headhillctl/cmds/cmds.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of the operators' tool.
+// Package cmds implements the commands of headhillctl.
 package cmds
 
 import (
@@ -15,7 +15,7 @@
 	"headhill.example/headhill/pkg/version"
 )
 
-// Main runs the program and returns its exit status.
+// Main runs headhillctl with the given arguments and returns the exit status.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -26,7 +26,7 @@
 	return 0
 }
 
-// New returns the program's command line.
+// New returns the root command.
 func New(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "headhillctl",
@@ -56,16 +56,18 @@
 	flagJSON  = "json"
 )
 
-// adminFlags say which box to ask, and as whom.
-func adminFlags(more ...cli.Flag) []cli.Flag { return append(flagsOfAdmin(true), more...) }
+// requiredAdminFlags returns the flags for the admin port's URL and the operator's
+// token, followed by extra.
+func requiredAdminFlags(extra ...cli.Flag) []cli.Flag { return append(newAdminFlags(true), extra...) }
 
-// optionalAdminFlags are adminFlags for a command that can do without them.
-func optionalAdminFlags() []cli.Flag { return flagsOfAdmin(false) }
+// optionalAdminFlags returns the admin flags for a command that may run without a
+// token.
+func optionalAdminFlags() []cli.Flag { return newAdminFlags(false) }
 
-func flagsOfAdmin(token bool) []cli.Flag {
+func newAdminFlags(tokenRequired bool) []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagAdmin, Usage: "`URL` of a box's admin port", Value: "http://127.0.0.1:8082", Sources: cli.EnvVars("HEADHILL_ADMIN")},
-		&cli.StringFlag{Name: flagToken, Usage: "the operator's `TOKEN`", Required: token, Sources: cli.EnvVars("HEADHILL_TOKEN")},
+		&cli.StringFlag{Name: flagToken, Usage: "the operator's `TOKEN`", Required: tokenRequired, Sources: cli.EnvVars("HEADHILL_TOKEN")},
 	}
 }
 
@@ -73,11 +75,11 @@
 	return &cli.BoolFlag{Name: flagJSON, Usage: "print JSON for programs"}
 }
 
-func adminOf(c *cli.Command) *adminclient.Client {
+func newAdminClient(c *cli.Command) *adminclient.Client {
 	return adminclient.New(c.String(flagAdmin), c.String(flagToken))
 }
 
-// UsageError says how a command is called.
+// UsageError reports wrong arguments of a command and its correct usage.
 type UsageError struct{ Usage string }
 
 func (e *UsageError) Error() string { return "usage: headhillctl " + e.Usage }
--- a/cmd/headhillctl/cmds/config.go
+++ b/cmd/headhillctl/cmds/config.go
@@ -20,7 +20,7 @@
 		Name:      "plan",
 		Usage:     "show what an intent would change; nothing takes effect",
 		ArgsUsage: "INTENT.ini",
-		Flags: adminFlags(
+		Flags: requiredAdminFlags(
 			&cli.StringFlag{Name: "out", Aliases: []string{"o"}, Usage: "write the plan to `FILE`, for confirm"},
 			jsonFlag(),
 		),
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			p, err := adminOf(c).Plan(ctx, string(text))
+			p, err := newAdminClient(c).Plan(ctx, string(text))
 			if err != nil {
 				return err
 			}
@@ -64,14 +64,14 @@
 	return e.Encode(v)
 }
 
-// signs mark the lines of a plan.
-var signs = map[string]string{intent.VerbAdd: "+", intent.VerbChange: "~", intent.VerbRemove: "-"}
+// verbSigns are the markers printed before the items of a plan.
+var verbSigns = map[string]string{intent.VerbAdd: "+", intent.VerbChange: "~", intent.VerbRemove: "-"}
 
 func printPlan(out io.Writer, p intent.Plan) {
 	fmt.Fprintf(out, "plan %s on generation %d\n", p.ID, p.Base)
-	for _, l := range p.Diffs {
-		fmt.Fprintf(out, "  %s %s %s\n", signs[l.Verb], l.Kind, l.Name)
-		for _, f := range l.Fields {
+	for _, d := range p.Diffs {
+		fmt.Fprintf(out, "  %s %s %s\n", verbSigns[d.Verb], d.Kind, d.Name)
+		for _, f := range d.Fields {
 			fmt.Fprintf(out, "      %s: %s -> %s\n", f.Name, f.Old, f.New)
 		}
 	}
@@ -86,7 +86,7 @@
 		Name:      "confirm",
 		Usage:     "put a plan in force; confirming twice has the effect of once",
 		ArgsUsage: "PLAN.json",
-		Flags:     adminFlags(),
+		Flags:     requiredAdminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.NArg() != 1 {
 				return &UsageError{Usage: "confirm PLAN.json"}
@@ -97,9 +97,9 @@
 			}
 			var p intent.Plan
 			if err := json.Unmarshal(b, &p); err != nil {
-				return fmt.Errorf("%s is no plan: %w: make one with `headhillctl plan --out`", c.Args().First(), err)
+				return fmt.Errorf("%s is not a plan: %w: create one with `headhillctl plan --out`", c.Args().First(), err)
 			}
-			g, err := adminOf(c).Confirm(ctx, p)
+			g, err := newAdminClient(c).Confirm(ctx, p)
 			if err != nil {
 				return err
 			}
@@ -113,9 +113,9 @@
 	return &cli.Command{
 		Name:  "config",
 		Usage: "show the configuration in force, as JSON",
-		Flags: adminFlags(),
+		Flags: requiredAdminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			r, err := adminOf(c).Config(ctx)
+			r, err := newAdminClient(c).Config(ctx)
 			if err != nil {
 				return err
 			}
@@ -124,11 +124,11 @@
 	}
 }
 
-// IncompleteRolloutError says that a generation is not in force everywhere.
+// IncompleteRolloutError reports boxes that have not applied a generation yet.
 type IncompleteRolloutError struct{ Boxes []string }
 
 func (e *IncompleteRolloutError) Error() string {
-	return "not in force yet on: " + strings.Join(e.Boxes, ", ") + ": ask again in some seconds; if it stays so, look at `headhillctl status`"
+	return "not applied yet on: " + strings.Join(e.Boxes, ", ") + ": retry in a few seconds; if the boxes remain behind, see `headhillctl status`"
 }
 
 func rolloutCommand(out io.Writer) *cli.Command {
@@ -136,13 +136,13 @@
 		Name:      "rollout",
 		Usage:     "show which boxes have a generation in force",
 		ArgsUsage: "GENERATION",
-		Flags:     adminFlags(),
+		Flags:     requiredAdminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			g, err := strconv.ParseUint(c.Args().First(), 10, 64)
 			if err != nil {
 				return &UsageError{Usage: "rollout GENERATION"}
 			}
-			r, err := adminOf(c).Rollout(ctx, g)
+			r, err := newAdminClient(c).Rollout(ctx, g)
 			if err != nil {
 				return err
 			}
@@ -162,12 +162,12 @@
 		Flags: append(statusFlags(), jsonFlag()),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if base := c.String(flagBox); base != "" {
-				return routingStatus(ctx, out, strings.TrimSuffix(base, "/"), c.Bool(flagJSON))
+				return printRoutingStatus(ctx, out, strings.TrimSuffix(base, "/"), c.Bool(flagJSON))
 			}
 			if c.String(flagToken) == "" {
 				return &UsageError{Usage: "status --token TOKEN, or status --box URL for a routing box"}
 			}
-			r, err := adminOf(c).Status(ctx)
+			r, err := newAdminClient(c).Status(ctx)
 			if err != nil {
 				return err
 			}
--- a/cmd/headhillctl/cmds/demo.go
+++ b/cmd/headhillctl/cmds/demo.go
@@ -41,7 +41,7 @@
 			}
 			defer f.Close()
 			if c.Bool("check") {
-				return check(ctx, out, f)
+				return runChecks(ctx, out, f)
 			}
 			printDemo(out, f)
 			<-ctx.Done()
@@ -50,7 +50,7 @@
 	}
 }
 
-// printDemo prints lines that work as pasted.
+// printDemo prints shell commands to try against the running fleet.
 func printDemo(out io.Writer, f *localfleet.Fleet) {
 	fmt.Fprintf(out, "headhill is up: %d boxes, %d engines, 1 plain service. Ctrl-C ends it.\n\n", len(f.Boxes), len(f.Engines))
 	fmt.Fprintf(out, "# a streamed answer\ncurl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n\n", f.Caller(0), localfleet.CallerKey, localfleet.Model)
@@ -64,20 +64,20 @@
 	fmt.Fprintf(out, "# load\ngo run ./cmd/headhillctl load --target %s --key %s --model %s --class counter=20/1.3s/37ms --class batch=10 --burst 3@5s+5s --duration 15s\n", f.Caller(0), localfleet.CallerKey, localfleet.Model)
 }
 
-// CheckError says what part of the path did not work.
+// CheckError reports a failed step of the demo's checks.
 type CheckError struct{ Step, Problem string }
 
 func (e *CheckError) Error() string { return fmt.Sprintf("check %q failed: %s", e.Step, e.Problem) }
 
-// check sends requests through the whole path.
-func check(ctx context.Context, out io.Writer, f *localfleet.Fleet) error {
+// runChecks sends requests through every box and verifies the responses.
+func runChecks(ctx context.Context, out io.Writer, f *localfleet.Fleet) error {
 	for i := range f.Boxes {
 		if err := checkChat(ctx, f, i); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintln(out, "ok   a streamed answer arrived whole through every box")
-	if err := checkOnce(ctx, f); err != nil {
+	if err := checkAtMostOnce(ctx, f); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "ok   a call that may not be repeated ran once, sent to every box")
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func checkOnce(ctx context.Context, f *localfleet.Fleet) error {
+func checkAtMostOnce(ctx context.Context, f *localfleet.Fleet) error {
 	const key = "demo-call"
 	for i := range f.Boxes {
 		a, err := localfleet.Call(ctx, f.Caller(i), "/activate", []byte("paper"), http.Header{api.HeaderIdempotencyKey: {key}})
@@ -105,11 +105,11 @@
 			return &CheckError{Step: "once", Problem: err.Error()}
 		}
 		if want := []int{http.StatusOK, http.StatusConflict}[min(i, 1)]; a.Status != want {
-			return &CheckError{Step: "once", Problem: fmt.Sprintf("box %d answered %d, not %d: %s", i, a.Status, want, a.Text)}
+			return &CheckError{Step: "once", Problem: fmt.Sprintf("box %d returned status %d, want %d: %s", i, a.Status, want, a.Text)}
 		}
 	}
 	if n := f.Service.Runs(key); n != 1 {
-		return &CheckError{Step: "once", Problem: fmt.Sprintf("the call ran %d times", n)}
+		return &CheckError{Step: "once", Problem: fmt.Sprintf("request ran %d times, want 1", n)}
 	}
 	return nil
 }
--- a/cmd/headhillctl/cmds/held.go
+++ b/cmd/headhillctl/cmds/held.go
@@ -18,23 +18,24 @@
 const (
 	flagBox     = "box"
 	flagRelease = "release"
-	// heldTimeout bounds a question to a box. One that runs answers within milliseconds.
-	heldTimeout = 5 * time.Second
-	// answerMost bounds an answer: a box holds 1,000 requests at the most.
-	answerMost = 1 << 20
+	// boxRequestTimeout limits a request to a box.
+	boxRequestTimeout = 5 * time.Second
+	// maxResponseBytes limits the response; a list of 1,000 held requests fits.
+	maxResponseBytes = 1 << 20
 )
 
-// BoxStatusError is an answer of a box that is no success.
+// BoxStatusError is a response of a box with an error status.
 type BoxStatusError struct {
 	Status int
 	Text   string
 }
 
 func (e *BoxStatusError) Error() string {
-	return fmt.Sprintf("the box answered %d: %s", e.Status, e.Text)
+	return fmt.Sprintf("box returned status %d: %s", e.Status, e.Text)
 }
 
-// heldCommand shows the requests that routing boxes keep from backend servers, and releases one.
+// heldCommand lists the requests that routing boxes hold in quarantine, or releases
+// one of them.
 func heldCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "held",
@@ -47,10 +48,10 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			base := strings.TrimSuffix(c.String(flagBox), "/")
 			if name := c.String(flagRelease); name != "" {
-				_, err := askBox(ctx, http.MethodPost, base+"/held/"+url.PathEscape(name)+"/release")
+				_, err := requestBox(ctx, http.MethodPost, base+"/held/"+url.PathEscape(name)+"/release")
 				return err
 			}
-			body, err := askBox(ctx, http.MethodGet, base+"/held")
+			body, err := requestBox(ctx, http.MethodGet, base+"/held")
 			if err != nil {
 				return err
 			}
@@ -63,19 +64,20 @@
 	}
 }
 
-func askBox(ctx context.Context, method, target string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
+// requestBox sends a request to a routing box and returns the response body.
+func requestBox(ctx context.Context, method, target string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, boxRequestTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, target, nil)
+	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && resp.StatusCode/100 != 2 {
 		err = &BoxStatusError{Status: resp.StatusCode, Text: strings.TrimSpace(string(body))}
 	}
@@ -95,13 +97,13 @@
 	for _, h := range list {
 		next := "by an operator only"
 		if h.NextTrialSeconds > 0 {
-			next = "in " + seconds(h.NextTrialSeconds)
+			next = "in " + formatSeconds(h.NextTrialSeconds)
 		}
-		fmt.Fprintf(out, "%-12s  %13d  %-9s  %6d  %s\n", h.Request, h.Crashes, seconds(h.LastCrashSeconds)+" ago", h.Trials, next)
+		fmt.Fprintf(out, "%-12s  %13d  %-9s  %6d  %s\n", h.Request, h.Crashes, formatSeconds(h.LastCrashSeconds)+" ago", h.Trials, next)
 	}
 	return nil
 }
 
-func seconds(s float64) string {
+func formatSeconds(s float64) string {
 	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
 }
--- a/cmd/headhillctl/cmds/key.go
+++ b/cmd/headhillctl/cmds/key.go
@@ -11,8 +11,8 @@
 	"headhill.example/headhill/pkg/config"
 )
 
-// keyCommand makes a key for an organisation or a token for an operator. Only
-// its hash goes into intents and settings.
+// keyCommand generates an API key for an organisation or a token for an operator.
+// Intents and settings contain only its hash.
 func keyCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "key",
--- a/cmd/headhillctl/cmds/load.go
+++ b/cmd/headhillctl/cmds/load.go
@@ -76,6 +76,7 @@
 	return o, nil
 }
 
+// parseClass parses NAME=RATE[/FIRST[/BETWEEN]].
 func parseClass(text string) (load.Class, error) {
 	bad := &load.BadOptionError{Option: "class " + text, Remedy: "write NAME=RATE[/FIRST[/BETWEEN]], as counter=20/1.3s/37ms"}
 	name, rest, ok := strings.Cut(text, "=")
@@ -88,28 +89,29 @@
 	if class.Rate, err = strconv.ParseFloat(parts[0], 64); err != nil {
 		return load.Class{}, bad
 	}
-	for i, to := range []*time.Duration{&class.FirstToken, &class.Between} {
+	for i, target := range []*time.Duration{&class.FirstToken, &class.Between} {
 		if len(parts) <= i+1 {
 			break
 		}
-		if *to, err = time.ParseDuration(parts[i+1]); err != nil {
+		if *target, err = time.ParseDuration(parts[i+1]); err != nil {
 			return load.Class{}, bad
 		}
 	}
 	return class, nil
 }
 
+// parseBurst parses FACTOR@AT+FOR into the burst options of o.
 func parseBurst(text string, o *load.Options) error {
 	bad := &load.BadOptionError{Option: "burst " + text, Remedy: "write FACTOR@AT+FOR, as 3@10s+10s"}
 	factor, rest, ok := strings.Cut(text, "@")
-	at, length, ok2 := strings.Cut(rest, "+")
+	at, duration, ok2 := strings.Cut(rest, "+")
 	if !ok || !ok2 {
 		return bad
 	}
 	var errs [3]error
 	o.BurstFactor, errs[0] = strconv.ParseFloat(factor, 64)
 	o.BurstAt, errs[1] = time.ParseDuration(at)
-	o.BurstFor, errs[2] = time.ParseDuration(length)
+	o.BurstFor, errs[2] = time.ParseDuration(duration)
 	for _, err := range errs {
 		if err != nil {
 			return bad
--- a/cmd/headhillctl/cmds/measure.go
+++ b/cmd/headhillctl/cmds/measure.go
@@ -21,11 +21,11 @@
 			jsonFlag(),
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			scenarios, err := pickScenarios(c.String("scenario"))
+			scenarios, err := scenariosByName(c.String("scenario"))
 			if err != nil {
 				return err
 			}
-			variants, err := pickVariants(c.String("variants"))
+			variants, err := variantsByName(c.String("variants"))
 			if err != nil {
 				return err
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func pickScenarios(name string) ([]measure.Scenario, error) {
+func scenariosByName(name string) ([]measure.Scenario, error) {
 	switch name {
 	case "hanoi":
 		return []measure.Scenario{measure.Hanoi()}, nil
@@ -59,7 +59,7 @@
 	return nil, &UsageError{Usage: "measure --scenario hanoi|recife|all"}
 }
 
-func pickVariants(name string) ([]measure.Variant, error) {
+func variantsByName(name string) ([]measure.Variant, error) {
 	switch name {
 	case "brief":
 		return measure.Mechanisms()[:2], nil
--- a/cmd/headhillctl/cmds/routingstatus.go
+++ b/cmd/headhillctl/cmds/routingstatus.go
@@ -13,15 +13,15 @@
 	"headhill.example/headhill/pkg/routerd"
 )
 
-// statusFlags are those of an admin port, of which the token is not needed where a routing box is
-// asked.
+// statusFlags returns the flags of the status command. No token is needed for the
+// status of a routing box.
 func statusFlags() []cli.Flag {
 	return append(optionalAdminFlags(), &cli.StringFlag{Name: flagBox, Usage: "`URL` of the metrics port of a routing box, to see what it knows"})
 }
 
-// routingStatus shows what a routing box knows.
-func routingStatus(ctx context.Context, out io.Writer, base string, asJSON bool) error {
-	body, err := askBox(ctx, http.MethodGet, base+"/status")
+// printRoutingStatus requests the status of a routing box and prints it.
+func printRoutingStatus(ctx context.Context, out io.Writer, base string, asJSON bool) error {
+	body, err := requestBox(ctx, http.MethodGet, base+"/status")
 	if err != nil {
 		return err
 	}
@@ -34,21 +34,22 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s in %s, version %s, ready %t, reads the store for others %t, knows %d boxes\n", s.Box, s.Hall, s.Version, s.Ready, s.Reader, s.Boxes)
-	fmt.Fprintf(out, "routing table %d, confirmed %s ago; servers %s ago\n", s.TableVersion, age(s.TableAgeMillis), age(s.ServersAgeMillis))
+	fmt.Fprintf(out, "routing table %d, confirmed %s ago; servers %s ago\n", s.TableVersion, formatAge(s.TableAgeMillis), formatAge(s.ServersAgeMillis))
 	fmt.Fprintln(out, evacuatedLine(&s))
 	fmt.Fprintln(out, formsLine(&s))
 	return nil
 }
 
-// evacuatedLine tells which halls are evacuated.
+// evacuatedLine lists the evacuated halls.
 func evacuatedLine(s *routerd.Status) string {
 	if len(s.EvacuatedHalls) == 0 {
-		return fmt.Sprintf("no hall is evacuated, as of %s ago", age(s.EvacuationsAgeMillis))
+		return fmt.Sprintf("no hall is evacuated, as of %s ago", formatAge(s.EvacuationsAgeMillis))
 	}
-	return fmt.Sprintf("evacuated halls, as of %s ago: %s", age(s.EvacuationsAgeMillis), strings.Join(s.EvacuatedHalls, ", "))
+	return fmt.Sprintf("evacuated halls, as of %s ago: %s", formatAge(s.EvacuationsAgeMillis), strings.Join(s.EvacuatedHalls, ", "))
 }
 
-// formsLine tells which boxes are of an earlier build.
+// formsLine reports the level of the wire and storage formats, and the boxes of
+// earlier builds that read only a lower level.
 func formsLine(s *routerd.Status) string {
 	if len(s.EarlierBoxes) == 0 {
 		return fmt.Sprintf("forms of level %d, read by all boxes", s.FormsLevel)
@@ -56,8 +57,8 @@
 	return fmt.Sprintf("forms of level %d, of which some boxes read level %d only: %s", s.FormsLevel, s.LowestFormsLevel, strings.Join(s.EarlierBoxes, ", "))
 }
 
-// age writes milliseconds, of which fewer than none stand for never.
-func age(millis int64) string {
+// formatAge formats an age in milliseconds. A negative value means never.
+func formatAge(millis int64) string {
 	if millis < 0 {
 		return "never"
 	}
--- a/cmd/headhillctl/cmds/standin.go
+++ b/cmd/headhillctl/cmds/standin.go
@@ -24,7 +24,7 @@
 			{
 				Name: "platform", Usage: "an object API and box list", Flags: []cli.Flag{listen},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return serveUntil(ctx, out, c.String("listen"), objectstore.New())
+					return serveStandin(ctx, out, c.String("listen"), objectstore.New())
 				},
 			},
 			{
@@ -42,22 +42,23 @@
 					o.Tokens = c.Int("tokens")
 					e := engine.New(o)
 					defer e.Close()
-					return serveUntil(ctx, out, c.String("listen"), e)
+					return serveStandin(ctx, out, c.String("listen"), e)
 				},
 			},
 			{
 				Name: "service", Usage: "a plain service",
 				Flags: []cli.Flag{listen, &cli.BoolFlag{Name: "fences", Usage: "check fences"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return serveUntil(ctx, out, c.String("listen"), service.New(c.Bool("fences")))
+					return serveStandin(ctx, out, c.String("listen"), service.New(c.Bool("fences")))
 				},
 			},
 		},
 	}
 }
 
-// serveUntil serves a stand-in until ctx ends. The first line printed says where.
-func serveUntil(ctx context.Context, out io.Writer, address string, h http.Handler) error {
+// serveStandin serves a stand-in until ctx is done, after printing the address it
+// listens on.
+func serveStandin(ctx context.Context, out io.Writer, address string, h http.Handler) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/cmd/headhillctl/main.go
+++ b/cmd/headhillctl/main.go
@@ -1,4 +1,4 @@
-// Headhillctl is the operators' tool.
+// Headhillctl is the command-line tool for operators.
 package main
 
 import (
