--- a/pkg/config/items.go
+++ b/pkg/config/items.go
@@ -54,7 +54,7 @@
 	ServiceKindPlain  = "plain"
 )
 
-// Service is a pool of interchangeable backend servers.
+// Service is a pool of backend servers that handle the same kind of requests.
 type Service struct {
 	Name string `json:"name"`
 	Kind string `json:"kind"`
