--- a/pkg/config/bench_test.go
+++ b/pkg/config/bench_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkCopy encodes and restores a snapshot of the whole configuration.
-func BenchmarkCopy(b *testing.B) {
+// BenchmarkSnapshot encodes and restores a snapshot of the whole configuration.
+func BenchmarkSnapshot(b *testing.B) {
 	s := targetState()
 	for b.Loop() {
 		parts := encodeSnapshot(s)
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -31,7 +31,7 @@
 	return g
 }
 
-func TestTwoOperatorsRace(t *testing.T) {
+func TestConcurrentPlansConflict(t *testing.T) {
 	p := standin.New()
 	a, b := newTestStore(p), newTestStore(p)
 	g, err := a.Confirm(t.Context(), "plan-a", 0, acceptedClass("a"))
@@ -45,7 +45,7 @@
 	require.False(t, exists, "the conflicting plan was applied")
 }
 
-func TestConfirmTwiceTakesEffectOnce(t *testing.T) {
+func TestConfirmIsIdempotent(t *testing.T) {
 	p := standin.New()
 	a, b := newTestStore(p), newTestStore(p)
 	first := confirm(t, a, "plan")
@@ -56,7 +56,7 @@
 	require.Equal(t, uint64(2), b.Current().Generation)
 }
 
-func TestConfirmWhoseAnswerWasLost(t *testing.T) {
+func TestConfirmSucceedsWhenResponsesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		s := newTestStore(p)
@@ -95,7 +95,7 @@
 
 // A box that got newer entries from a peer than a stale platform returns must keep
 // them, and must not append to the old log.
-func TestPeersAheadOfAStalePlatform(t *testing.T) {
+func TestPeerEntriesSurviveAStalePlatform(t *testing.T) {
 	p := standin.New()
 	ahead := newTestStore(p)
 	confirm(t, ahead, "a")
@@ -166,7 +166,7 @@
 
 // Under any sequence of lost responses, stale reads, outages, pulls from peers and
 // restarts, no accepted generation may be lost and all boxes must converge.
-func TestAcceptedStaysAccepted(t *testing.T) {
+func TestAcceptedGenerationsAreNotLost(t *testing.T) {
 	gen := rapid.Custom(func(t *rapid.T) historyStep {
 		return historyStep{
 			Kind: rapid.SampledFrom([]string{"confirm", "confirm", "refresh", "pull", "restart", "faults", "heal"}).Draw(t, "kind"),
