--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -32,7 +32,7 @@
 
 // port believes the addresses of a list.
 func port(conn net.PacketConn, known ...*net.UDPAddr) *datagram.Port {
-	return datagram.NewPort(datagram.Deps{Conn: conn, Logger: log.NewNopLogger(), Known: func(a netip.AddrPort) bool {
+	return datagram.NewPort(datagram.Deps{Conn: conn, Logger: log.NewNopLogger(), IsPeer: func(a netip.AddrPort) bool {
 		return slices.ContainsFunc(known, func(k *net.UDPAddr) bool { return k.AddrPort() == a })
 	}})
 }
@@ -71,15 +71,15 @@
 		}
 		c := New(Deps{
 			Port: port(conns[i], peers...), Directory: directory.New(log.NewNopLogger()),
-			Timing: func() Timing { return Timing{Every: 50 * time.Millisecond, Spread: 50 * time.Millisecond} },
-			Peers:  func() []*net.UDPAddr { return peers },
-			Look:   func(context.Context) bool { return false },
-			Rank:   func() int { return i },
+			Timing:        func() Timing { return Timing{Interval: 50 * time.Millisecond, Stagger: 50 * time.Millisecond} },
+			Peers:         func() []*net.UDPAddr { return peers },
+			RefreshRoster: func(context.Context) bool { return false },
+			Rank:          func() int { return i },
 			Check: func(context.Context) (directory.Check, bool) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				g.checks[i]++
-				return directory.Check{Asked: time.Now(), Revision: 1}, true
+				return directory.Check{AskedAt: time.Now(), Revision: 1}, true
 			},
 		})
 		wg.Go(c.Port.Listen)
@@ -108,7 +108,7 @@
 	rank := 0
 	c := checker(t)
 	c.Rank = func() int { return rank }
-	c.Timing = func() Timing { return Timing{Every: time.Second, Spread: time.Second} }
+	c.Timing = func() Timing { return Timing{Interval: time.Second, Stagger: time.Second} }
 	last := time.Duration(0)
 	for ; rank < firstBoxes; rank++ {
 		assert.Greater(t, c.next(), last)
@@ -154,7 +154,7 @@
 	checking := make(chan struct{})
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
-		Timing: func() Timing { return Timing{Every: time.Millisecond} },
+		Timing: func() Timing { return Timing{Interval: time.Millisecond} },
 		Peers:  func() []*net.UDPAddr { return nil },
 		Rank:   func() int { return 0 },
 		Check: func(ctx context.Context) (directory.Check, bool) {
@@ -180,10 +180,10 @@
 	var looks, checks atomic.Int32
 	c := New(Deps{
 		Port: port(listen(t)), Directory: directory.New(log.NewNopLogger()),
-		Timing: func() Timing { return Timing{Every: time.Second} },
-		Peers:  func() []*net.UDPAddr { return nil },
-		Rank:   func() int { return 0 },
-		Look:   func(context.Context) bool { return looks.Add(1) == 1 },
+		Timing:        func() Timing { return Timing{Interval: time.Second} },
+		Peers:         func() []*net.UDPAddr { return nil },
+		Rank:          func() int { return 0 },
+		RefreshRoster: func(context.Context) bool { return looks.Add(1) == 1 },
 		Check: func(context.Context) (directory.Check, bool) {
 			checks.Add(1)
 			return directory.Check{}, false
@@ -213,7 +213,7 @@
 	for i := range 500 {
 		delta.Events = append(delta.Events, directory.ServerEvent{Server: routing.Server{ID: fmt.Sprintf("i-%08d", i), Service: "calls"}})
 	}
-	c.tellNotice(directory.Notice{Delta: delta})
+	c.tellNotice(directory.Notification{ServersDelta: delta})
 	told := make(chan message, 1)
 	p := port(other, c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	p.Handle(kind, func(d datagram.Message) {
@@ -261,20 +261,20 @@
 		m, err := parse(datagram.Message{Body: body})
 		require.NoError(t, err, name)
 		c := checker(t)
-		assert.Equal(t, m.Check != nil && forms.Whole(m.Level), c.take(m), name)
+		assert.Equal(t, m.Check != nil && forms.Complete(m.Level), c.take(m), name)
 	}
 }
 
 // emptySource is a store without servers.
 type emptySource struct{ revision uint64 }
 
-func (s emptySource) ReadTable(context.Context) (directory.TableRead, error) {
-	return directory.TableRead{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision, Changed: s.revision}, nil
+func (s emptySource) ReadTable(context.Context) (directory.TableResult, error) {
+	return directory.TableResult{Table: routing.NewTable(routing.Content{Version: 1}), Revision: s.revision, Changed: s.revision}, nil
 }
 
-func (emptySource) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableRead, error) {
+func (emptySource) WatchTable(ctx context.Context, _ uint64, _ time.Duration, _ int) (directory.TableResult, error) {
 	<-ctx.Done()
-	return directory.TableRead{}, ctx.Err()
+	return directory.TableResult{}, ctx.Err()
 }
 
 func (s emptySource) ReadServers(context.Context, string, bool) (directory.ServersPage, error) {
@@ -296,10 +296,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		d.Follow(ctx, directory.Following{Source: emptySource{revision}, Reader: func() bool { return true }, Timing: directory.Timing{Wait: time.Second, Answer: time.Second, AnswerMost: time.Second}})
+		d.Follow(ctx, directory.FollowOptions{Source: emptySource{revision}, Reader: func() bool { return true }, Timing: directory.Timing{WatchWait: time.Second, AnswerTimeout: time.Second, MaxAnswerTime: time.Second}})
 		close(done)
 	}()
-	_, err := d.ListHead(t.Context(), revision)
+	_, err := d.ListMetadata(t.Context(), revision)
 	require.NoError(t, err)
 	cancel()
 	<-done
--- a/pkg/metering/publisher.go
+++ b/pkg/metering/publisher.go
@@ -123,7 +123,7 @@
 func (p *Publisher) recipients() (informed, uninformed []*net.UDPAddr) {
 	addresses := make(map[netip.AddrPort]bool)
 	for _, a := range p.CollectorAddrs() {
-		address := datagram.AddrPortOf(a)
+		address := datagram.CanonicalAddrPort(a)
 		addresses[address] = true
 		if p.informed[address] {
 			informed = append(informed, a)
--- a/pkg/snapshot/client.go
+++ b/pkg/snapshot/client.go
@@ -61,9 +61,9 @@
 type ClientDeps struct {
 	// Providers are the addresses of the boxes to ask, in order.
 	Providers func() []string
-	// Wait is how long they may take together to begin an answer. The source could have been
+	// ResponseTimeout is how long they may take together to begin an answer. The source could have been
 	// asked in that time.
-	Wait func() time.Duration
+	ResponseTimeout func() time.Duration
 }
 
 // NewClient returns a client.
@@ -73,7 +73,7 @@
 		// Questions are rare: a kept connection to each box would cost more than it saves.
 		DisableKeepAlives: true,
 	}
-	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, wait: d.Wait, silent: make(map[string]time.Time)}
+	return &Client{http: &http.Client{Transport: t}, providers: d.Providers, wait: d.ResponseTimeout, silent: make(map[string]time.Time)}
 }
 
 // Table implements directory.Providers.
@@ -91,7 +91,7 @@
 		if has {
 			table, err = applied(inForce, delta, address)
 		}
-		return directory.TableCopy{Table: table, Revision: k.revision, Changed: k.changed, Read: time.Now().Add(-k.age)}, err
+		return directory.TableCopy{Table: table, Revision: k.revision, Changed: k.changed, ConfirmedAt: time.Now().Add(-k.age)}, err
 	})
 }
 
@@ -124,25 +124,25 @@
 			err = &DamagedError{Address: address, Reason: "it holds no list"}
 		}
 		list.Revision, list.Changed, list.Evacuations = k.revision, k.changed, k.evacuations
-		list.Read = time.Now().Add(-k.age)
+		list.ConfirmedAt = time.Now().Add(-k.age)
 		return list, err
 	})
 }
 
 // Boxes asks for the boxes that there are: at first for as long as for the rest that a box needs,
 // later once.
-func (c *Client) Boxes(ctx context.Context, first bool) (roster.Copy, error) {
+func (c *Client) Boxes(ctx context.Context, first bool) (roster.Snapshot, error) {
 	more := never
 	if first {
 		more = againAtFirst()
 	}
-	return ask(ctx, c, more, func(ctx context.Context, address string, wait time.Duration) (roster.Copy, error) {
+	return ask(ctx, c, more, func(ctx context.Context, address string, wait time.Duration) (roster.Snapshot, error) {
 		var entries []roster.Entry
 		k, has, err := c.fetch(ctx, address, pathBoxes, question{wait: wait}, func(known) any { return &entries })
 		if err == nil && !has {
 			err = &DamagedError{Address: address, Reason: "it holds no boxes"}
 		}
-		return roster.Copy{Entries: entries, Revision: k.revision}, err
+		return roster.Snapshot{Entries: entries, Revision: k.revision}, err
 	})
 }
 
@@ -282,8 +282,8 @@
 	if !ok || k.revision < q.least {
 		return known{}, false, &DamagedError{Address: address, Reason: "it does not say up to where it is known, or not as far as was asked"}
 	}
-	if path != pathBoxes && !forms.Whole(k.level) {
-		return known{}, false, &OlderBuildError{Address: address, Level: forms.Of(k.level)}
+	if path != pathBoxes && !forms.Complete(k.level) {
+		return known{}, false, &OlderBuildError{Address: address, Level: forms.EffectiveLevel(k.level)}
 	}
 	if resp.StatusCode == http.StatusNoContent {
 		return k, false, nil
