--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -100,20 +100,20 @@
 	ahead := newTestStore(p)
 	confirm(t, ahead, "a")
 	p.SetFaults(standin.Faults{Stale: true})
-	confirmWhileStale := func(id string) {
+	confirmWithoutFaults := func(id string) {
 		p.SetFaults(standin.Faults{})
 		confirm(t, ahead, id)
 	}
 	behind := newTestStore(p)
 	require.NoError(t, behind.Refresh(t.Context()))
-	old := p.Snapshot()
-	confirmWhileStale("b")
+	oldLog := p.Snapshot()
+	confirmWithoutFaults("b")
 	entries, ok := ahead.EntriesSince(1)
 	require.True(t, ok)
 	for _, e := range entries {
 		require.NoError(t, behind.ApplyEntry(e))
 	}
-	p.Restore(old)
+	p.Restore(oldLog)
 	require.True(t, objlog.IsBehind(behind.Refresh(t.Context())))
 	require.Equal(t, uint64(2), behind.Current().Generation)
 	_, err := behind.Confirm(t.Context(), "c", 2, acceptedClass("c"))
