--- a/cmd/headhillctl/cmds/load.go
+++ b/cmd/headhillctl/cmds/load.go
@@ -53,13 +53,13 @@
 
 func loadOptions(c *cli.Command) (load.Options, error) {
 	o := load.Options{
-		Targets:   c.StringSlice("target"),
-		Key:       c.String("key"),
-		Model:     c.String("model"),
-		Duration:  c.Duration("duration"),
-		MaxTokens: c.Int("max-tokens"),
-		InFlight:  c.Int("in-flight"),
-		Seed:      c.Uint64("seed"),
+		Targets:     c.StringSlice("target"),
+		Key:         c.String("key"),
+		Model:       c.String("model"),
+		Duration:    c.Duration("duration"),
+		MaxTokens:   c.Int("max-tokens"),
+		MaxInFlight: c.Int("in-flight"),
+		Seed:        c.Uint64("seed"),
 	}
 	for _, text := range c.StringSlice("class") {
 		class, err := parseClass(text)
@@ -78,7 +78,7 @@
 
 // parseClass parses NAME=RATE[/FIRST[/BETWEEN]].
 func parseClass(text string) (load.Class, error) {
-	bad := &load.BadOptionError{Option: "class " + text, Remedy: "write NAME=RATE[/FIRST[/BETWEEN]], as counter=20/1.3s/37ms"}
+	bad := &load.InvalidOptionError{Option: "class " + text, Remedy: "write NAME=RATE[/FIRST[/BETWEEN]], as counter=20/1.3s/37ms"}
 	name, rest, ok := strings.Cut(text, "=")
 	parts := strings.Split(rest, "/")
 	if !ok || len(parts) > 3 {
@@ -89,7 +89,7 @@
 	if class.Rate, err = strconv.ParseFloat(parts[0], 64); err != nil {
 		return load.Class{}, bad
 	}
-	for i, target := range []*time.Duration{&class.FirstToken, &class.Between} {
+	for i, target := range []*time.Duration{&class.FirstTokenTarget, &class.InterTokenTarget} {
 		if len(parts) <= i+1 {
 			break
 		}
@@ -102,7 +102,7 @@
 
 // parseBurst parses FACTOR@AT+FOR into the burst options of o.
 func parseBurst(text string, o *load.Options) error {
-	bad := &load.BadOptionError{Option: "burst " + text, Remedy: "write FACTOR@AT+FOR, as 3@10s+10s"}
+	bad := &load.InvalidOptionError{Option: "burst " + text, Remedy: "write FACTOR@AT+FOR, as 3@10s+10s"}
 	factor, rest, ok := strings.Cut(text, "@")
 	at, duration, ok2 := strings.Cut(rest, "+")
 	if !ok || !ok2 {
@@ -110,8 +110,8 @@
 	}
 	var errs [3]error
 	o.BurstFactor, errs[0] = strconv.ParseFloat(factor, 64)
-	o.BurstAt, errs[1] = time.ParseDuration(at)
-	o.BurstFor, errs[2] = time.ParseDuration(duration)
+	o.BurstStart, errs[1] = time.ParseDuration(at)
+	o.BurstDuration, errs[2] = time.ParseDuration(duration)
 	for _, err := range errs {
 		if err != nil {
 			return bad
--- a/cmd/headhillctl/cmds/standin.go
+++ b/cmd/headhillctl/cmds/standin.go
@@ -37,9 +37,9 @@
 				},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					o := engine.DefaultOptions()
-					o.Batch = c.Int("batch")
+					o.MaxBatch = c.Int("batch")
 					o.StepBase = c.Duration("step")
-					o.Tokens = c.Int("tokens")
+					o.AnswerTokens = c.Int("tokens")
 					e := engine.New(o)
 					defer e.Close()
 					return serveStandin(ctx, out, c.String("listen"), e)
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -32,9 +32,9 @@
 			Coordinator: rapid.IntRange(0, 2).Draw(t, "coordinator"),
 			Key:         rapid.IntRange(0, 3).Draw(t, "key"),
 			Faults: standin.Faults{
-				Down:       rapid.IntRange(0, 5).Draw(t, "down") == 0,
-				Stale:      rapid.IntRange(0, 3).Draw(t, "stale") == 0,
-				LoseWrites: rapid.IntRange(0, 2).Draw(t, "lose writes"),
+				Down:               rapid.IntRange(0, 5).Draw(t, "down") == 0,
+				Stale:              rapid.IntRange(0, 3).Draw(t, "stale") == 0,
+				DropWriteResponses: rapid.IntRange(0, 2).Draw(t, "lose writes"),
 			},
 		}
 	})
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		s := newTestStore(p)
-		p.SetFaults(standin.Faults{LoseWrites: 2})
+		p.SetFaults(standin.Faults{DropWriteResponses: 2})
 		require.Equal(t, uint64(1), confirm(t, s, "plan"))
 	})
 }
@@ -173,9 +173,9 @@
 			Box:  rapid.IntRange(0, 2).Draw(t, "box"),
 			From: rapid.IntRange(0, 2).Draw(t, "from"),
 			Faults: standin.Faults{
-				Down:       rapid.IntRange(0, 4).Draw(t, "down") == 0,
-				Stale:      rapid.IntRange(0, 2).Draw(t, "stale") == 0,
-				LoseWrites: rapid.IntRange(0, 2).Draw(t, "lose"),
+				Down:               rapid.IntRange(0, 4).Draw(t, "down") == 0,
+				Stale:              rapid.IntRange(0, 2).Draw(t, "stale") == 0,
+				DropWriteResponses: rapid.IntRange(0, 2).Draw(t, "lose"),
 			},
 		}
 	})
--- a/pkg/entry/exchange_test.go
+++ b/pkg/entry/exchange_test.go
@@ -31,7 +31,7 @@
 	var servers [2]config.Server
 	for i := range engines {
 		o := engine.DefaultOptions()
-		o.StepBase, o.StepEach, o.Tokens = 50*time.Microsecond, 0, answerTokens
+		o.StepBase, o.StepPerSequence, o.AnswerTokens = 50*time.Microsecond, 0, answerTokens
 		engines[i] = engine.New(o)
 		s := httptest.NewServer(engines[i])
 		defer s.Close()
--- a/pkg/load/load.go
+++ b/pkg/load/load.go
@@ -22,8 +22,8 @@
 	Name string
 	// Rate is in requests a second, arriving at random.
 	Rate float64
-	// FirstToken and Between are the targets to measure against; 0 means none.
-	FirstToken, Between time.Duration
+	// FirstTokenTarget and InterTokenTarget are the targets to measure against; 0 means none.
+	FirstTokenTarget, InterTokenTarget time.Duration
 }
 
 // Options shape a run.
@@ -35,34 +35,34 @@
 	Classes []Class
 	// Duration bounds the time in which requests begin.
 	Duration time.Duration
-	// BurstAt, BurstFor and BurstFactor multiply the rates for a while.
-	BurstAt, BurstFor time.Duration
-	BurstFactor       float64
+	// BurstStart, BurstDuration and BurstFactor multiply the rates for a while.
+	BurstStart, BurstDuration time.Duration
+	BurstFactor               float64
 	// MaxTokens bounds the answers; 0 leaves their length to the engine.
 	MaxTokens int
-	// InFlight bounds the requests under way; what would exceed it is not sent
+	// MaxInFlight bounds the requests under way; what would exceed it is not sent
 	// and counted as skipped.
-	InFlight int
-	Seed     uint64
+	MaxInFlight int
+	Seed        uint64
 	// Progress is called each second.
 	Progress func(elapsed time.Duration, sent, ended int)
 }
 
-// BadOptionError says which option can't be used.
-type BadOptionError struct{ Option, Remedy string }
+// InvalidOptionError says which option can't be used.
+type InvalidOptionError struct{ Option, Remedy string }
 
-func (e *BadOptionError) Error() string { return fmt.Sprintf("%s: %s", e.Option, e.Remedy) }
+func (e *InvalidOptionError) Error() string { return fmt.Sprintf("%s: %s", e.Option, e.Remedy) }
 
 func (o *Options) check() error {
 	switch {
 	case len(o.Targets) == 0:
-		return &BadOptionError{Option: "target", Remedy: "name at least one box"}
+		return &InvalidOptionError{Option: "target", Remedy: "name at least one box"}
 	case len(o.Classes) == 0:
-		return &BadOptionError{Option: "class", Remedy: "name at least one class"}
+		return &InvalidOptionError{Option: "class", Remedy: "name at least one class"}
 	case o.Duration <= 0:
-		return &BadOptionError{Option: "duration", Remedy: "must be positive"}
-	case o.InFlight <= 0:
-		return &BadOptionError{Option: "in-flight", Remedy: "must be positive"}
+		return &InvalidOptionError{Option: "duration", Remedy: "must be positive"}
+	case o.MaxInFlight <= 0:
+		return &InvalidOptionError{Option: "in-flight", Remedy: "must be positive"}
 	}
 	return nil
 }
@@ -84,12 +84,12 @@
 	// Goodput is in attained answers a second.
 	Goodput float64 `json:"goodput"`
 	Tokens  int     `json:"tokens"`
-	// Wasted tokens belong to answers that did not end whole.
-	Wasted int `json:"wasted_tokens"`
+	// WastedTokens were generated for answers that did not complete.
+	WastedTokens int `json:"wasted_tokens"`
 	// Percentiles of the time to the first token, between tokens, and in all, in
 	// milliseconds.
 	FirstToken Percentiles `json:"first_token_ms"`
-	Between    Percentiles `json:"between_tokens_ms"`
+	InterToken Percentiles `json:"between_tokens_ms"`
 	Total      Percentiles `json:"total_ms"`
 }
 
@@ -143,7 +143,7 @@
 	}
 	r.Tokens += s.tokens
 	if s.outcome != api.OutcomeDone {
-		r.Wasted += s.tokens
+		r.WastedTokens += s.tokens
 		return
 	}
 	record(a.firstToken, s.firstToken)
@@ -151,7 +151,7 @@
 	if s.between > 0 {
 		record(a.between, s.between)
 	}
-	if within(s.firstToken, a.class.FirstToken) && within(s.between, a.class.Between) {
+	if within(s.firstToken, a.class.FirstTokenTarget) && within(s.between, a.class.InterTokenTarget) {
 		r.Attained++
 	}
 }
@@ -172,7 +172,7 @@
 	}
 	r.Goodput = float64(r.Attained) / elapsed.Seconds()
 	r.FirstToken = percentiles(a.firstToken)
-	r.Between = percentiles(a.between)
+	r.InterToken = percentiles(a.between)
 	r.Total = percentiles(a.full)
 	return r
 }
@@ -183,7 +183,7 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	d := &driver{opts: o, began: time.Now(), slots: make(chan struct{}, o.InFlight), caller: newCaller(o)}
+	d := &driver{opts: o, began: time.Now(), slots: make(chan struct{}, o.MaxInFlight), caller: newCaller(o)}
 	accounts := make([]*account, len(o.Classes))
 	var arrivals conc.WaitGroup
 	for i, c := range o.Classes {
@@ -232,7 +232,7 @@
 }
 
 func (d *driver) factor(elapsed time.Duration) float64 {
-	if d.opts.BurstFactor > 0 && elapsed >= d.opts.BurstAt && elapsed < d.opts.BurstAt+d.opts.BurstFor {
+	if d.opts.BurstFactor > 0 && elapsed >= d.opts.BurstStart && elapsed < d.opts.BurstStart+d.opts.BurstDuration {
 		return d.opts.BurstFactor
 	}
 	return 1
@@ -305,12 +305,12 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %7s %7s %7s %7s %7s %9s %9s %9s %9s %8s %8s\n", "class", "sent", "done", "not-run", "unknown", "failed", "attained", "goodput/s", "first p95", "betw. p95", "tokens", "wasted")
 	for _, r := range results {
-		fmt.Fprintf(&b, "%-12s %7d %7d %7d %7d %7d %8.1f%% %9.1f %7.0fms %7.1fms %8d %8d\n", r.Class, r.Sent, r.Done, r.NotRun, r.Unknown, r.Failed+r.Skipped, r.Attainment*100, r.Goodput, r.FirstToken.P95, r.Between.P95, r.Tokens, r.Wasted)
+		fmt.Fprintf(&b, "%-12s %7d %7d %7d %7d %7d %8.1f%% %9.1f %7.0fms %7.1fms %8d %8d\n", r.Class, r.Sent, r.Done, r.NotRun, r.Unknown, r.Failed+r.Skipped, r.Attainment*100, r.Goodput, r.FirstToken.P95, r.InterToken.P95, r.Tokens, r.WastedTokens)
 	}
 	return b.String()
 }
 
 // newTransport keeps enough connections for the run.
 func newTransport(o Options) *http.Transport {
-	return &http.Transport{MaxIdleConns: o.InFlight, MaxIdleConnsPerHost: o.InFlight}
+	return &http.Transport{MaxIdleConns: o.MaxInFlight, MaxIdleConnsPerHost: o.MaxInFlight}
 }
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -86,7 +86,7 @@
 func keyedCallsWhileBoxesDie(t *testing.T, fences bool) {
 	withFleet(t, func(o *Options) { o.Boxes, o.Fences = 3, fences }, func(ctx context.Context, f *Fleet) {
 		f.Service.SetFaults(service.Faults{Delay: 30 * time.Millisecond})
-		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, LoseWrites: 5})
+		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, DropWriteResponses: 5})
 		bases := []string{f.Caller(0), f.Caller(1), f.Caller(2)}
 		p := pool.New()
 		for i := range 60 {
--- a/pkg/localfleet/fleet_test.go
+++ b/pkg/localfleet/fleet_test.go
@@ -89,7 +89,7 @@
 }
 
 func TestManyCallersGetTheirOwnAnswers(t *testing.T) {
-	wide := func(o *Options) { o.Boxes, o.Slots, o.Engine.Batch = 3, 128, 128 }
+	wide := func(o *Options) { o.Boxes, o.Slots, o.Engine.MaxBatch = 3, 128, 128 }
 	withFleet(t, wide, func(ctx context.Context, f *Fleet) {
 		p := pool.New().WithErrors()
 		for i := range 1000 {
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -103,11 +103,11 @@
 
 // Run runs a scenario once.
 func Run(o Scenario, v Variant, seed uint64) *Result {
-	if v.Change != nil {
-		v.Change(&o)
+	if v.Modify != nil {
+		v.Modify(&o)
 	}
 	r := &run{opts: o, baseline: v.Baseline, rng: rand.New(rand.NewPCG(seed, 7)), result: newResult(&o, v.Name, seed)}
-	r.policy = newHeadhill(&o, v.Policy, seed)
+	r.policy = newHeadhill(&o, v.Ablations, seed)
 	if v.Baseline {
 		r.policy = newBaseline(&o, seed)
 	}
--- a/pkg/measure/scenario.go
+++ b/pkg/measure/scenario.go
@@ -120,11 +120,11 @@
 // Variant is a scenario with one thing changed.
 type Variant struct {
 	Name   string
-	Change func(*Scenario)
+	Modify func(*Scenario)
 	// Baseline runs the baseline policy instead of the scheduler.
 	Baseline bool
-	// Policy switches mechanisms of the scheduler off.
-	Policy scheduler.Ablations
+	// Ablations switches mechanisms of the scheduler off.
+	Ablations scheduler.Ablations
 }
 
 // Mechanisms are the scheduler, the baseline, and the scheduler with each
@@ -133,12 +133,12 @@
 	return []Variant{
 		{Name: "headhill"},
 		{Name: "baseline", Baseline: true},
-		{Name: "no-floor", Policy: scheduler.Ablations{NoFloor: true}},
-		{Name: "no-fairness", Policy: scheduler.Ablations{NoFairness: true}},
-		{Name: "no-prefix", Policy: scheduler.Ablations{NoPrefix: true}},
-		{Name: "no-adaptive-limit", Policy: scheduler.Ablations{NoAdaptiveLimit: true}},
-		{Name: "no-headroom", Policy: scheduler.Ablations{NoHeadroom: true}},
-		{Name: "no-early-refusal", Policy: scheduler.Ablations{NoEarlyRefusal: true}},
+		{Name: "no-floor", Ablations: scheduler.Ablations{NoFloor: true}},
+		{Name: "no-fairness", Ablations: scheduler.Ablations{NoFairness: true}},
+		{Name: "no-prefix", Ablations: scheduler.Ablations{NoPrefix: true}},
+		{Name: "no-adaptive-limit", Ablations: scheduler.Ablations{NoAdaptiveLimit: true}},
+		{Name: "no-headroom", Ablations: scheduler.Ablations{NoHeadroom: true}},
+		{Name: "no-early-refusal", Ablations: scheduler.Ablations{NoEarlyRefusal: true}},
 	}
 }
 
@@ -149,9 +149,9 @@
 		s.Faults.Slow, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 5, s.BurstAt/2
 	}
 	return []Variant{
-		{Name: "slow-5x", Change: slow},
-		{Name: "slow-5x/baseline", Change: slow, Baseline: true},
-		{Name: "slow-5x/no-adaptive-limit", Change: slow, Policy: scheduler.Ablations{NoAdaptiveLimit: true}},
+		{Name: "slow-5x", Modify: slow},
+		{Name: "slow-5x/baseline", Modify: slow, Baseline: true},
+		{Name: "slow-5x/no-adaptive-limit", Modify: slow, Ablations: scheduler.Ablations{NoAdaptiveLimit: true}},
 	}
 }
 
@@ -159,14 +159,14 @@
 // baseline.
 func FaultVariants() []Variant {
 	faults := []Variant{
-		{Name: "owner-lost", Change: func(s *Scenario) {
+		{Name: "owner-lost", Modify: func(s *Scenario) {
 			s.Faults.OwnerLostAt, s.Faults.OwnerGap = s.BurstAt+s.BurstFor/2, 350*time.Millisecond
 		}},
-		{Name: "reports-5s", Change: func(s *Scenario) { s.Faults.ReportLag = 5 * second }},
-		{Name: "third-slow", Change: func(s *Scenario) {
+		{Name: "reports-5s", Modify: func(s *Scenario) { s.Faults.ReportLag = 5 * second }},
+		{Name: "third-slow", Modify: func(s *Scenario) {
 			s.Faults.Slow, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 3, s.BurstAt/2
 		}},
-		{Name: "third-lost", Change: func(s *Scenario) {
+		{Name: "third-lost", Modify: func(s *Scenario) {
 			s.Faults.Lost, s.Faults.LostAt = s.Servers/3, s.BurstAt+s.BurstFor/4
 		}},
 	}
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -78,9 +78,9 @@
 			Kind: rapid.SampledFrom([]string{"append", "append", "append", "refresh", "restart", "fold", "faults", "heal"}).Draw(t, "kind"),
 			Log:  rapid.IntRange(0, 2).Draw(t, "log"),
 			Faults: standin.Faults{
-				Down:       rapid.IntRange(0, 5).Draw(t, "down") == 0,
-				Stale:      rapid.IntRange(0, 3).Draw(t, "stale") == 0,
-				LoseWrites: rapid.IntRange(0, 2).Draw(t, "lose"),
+				Down:               rapid.IntRange(0, 5).Draw(t, "down") == 0,
+				Stale:              rapid.IntRange(0, 3).Draw(t, "stale") == 0,
+				DropWriteResponses: rapid.IntRange(0, 2).Draw(t, "lose"),
 			},
 		}
 	})
@@ -246,7 +246,7 @@
 		require.NoError(t, l.Refresh(ctx))
 		// The write takes effect, its answer is lost, and before it is repeated
 		// another box appends until the segment is archived.
-		p.SetFaults(standin.Faults{LoseWrites: 1})
+		p.SetFaults(standin.Faults{DropWriteResponses: 1})
 		g.hold = func() {
 			g.hold = func() {
 				require.NoError(t, other.Refresh(ctx))
--- a/pkg/standin/engine/answer.go
+++ b/pkg/standin/engine/answer.go
@@ -78,7 +78,7 @@
 }
 
 func (e *Engine) length(p *prompt, messages []message, done int) int {
-	n := e.opts.Tokens
+	n := e.opts.AnswerTokens
 	if n == 0 {
 		n = longTail(messages)
 	}
@@ -152,7 +152,7 @@
 		}
 	}
 	e.cache = append(e.cache, h)
-	if len(e.cache) > e.opts.Cached {
+	if len(e.cache) > e.opts.CachedPrefixes {
 		e.cache = e.cache[1:]
 	}
 	return false
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -20,37 +20,37 @@
 
 // Options shape an engine.
 type Options struct {
-	// Batch is the most sequences in one step; more wait.
-	Batch int
-	// StepBase and StepEach are the time of a step and what each sequence adds.
-	StepBase, StepEach time.Duration
-	// PrefillEach is the time that each token of an uncached prompt adds.
-	PrefillEach time.Duration
-	// Cached is the number of prompts whose prefix stays cached.
-	Cached int
+	// MaxBatch is the most sequences in one step; more wait.
+	MaxBatch int
+	// StepBase and StepPerSequence are the time of a step and what each sequence adds.
+	StepBase, StepPerSequence time.Duration
+	// PrefillPerToken is the time that each token of an uncached prompt adds.
+	PrefillPerToken time.Duration
+	// CachedPrefixes is the number of prompts whose prefix stays cached.
+	CachedPrefixes int
 	// LoadLag delays the load report.
 	LoadLag time.Duration
-	// Tokens is the length of answers without a bound; 0 derives it from the
+	// AnswerTokens is the length of answers without a bound; 0 derives it from the
 	// prompt, with a long tail.
-	Tokens int
+	AnswerTokens int
 }
 
 // DefaultOptions returns an engine of a few milliseconds a step.
 func DefaultOptions() Options {
 	return Options{
-		Batch:       16,
-		StepBase:    4 * time.Millisecond,
-		StepEach:    200 * time.Microsecond,
-		PrefillEach: 10 * time.Microsecond,
-		Cached:      64,
-		LoadLag:     time.Second,
+		MaxBatch:        16,
+		StepBase:        4 * time.Millisecond,
+		StepPerSequence: 200 * time.Microsecond,
+		PrefillPerToken: 10 * time.Microsecond,
+		CachedPrefixes:  64,
+		LoadLag:         time.Second,
 	}
 }
 
 // Faults are the ways in which the stand-in can fail.
 type Faults struct {
-	// Slow multiplies the time of steps; 0 counts as 1.
-	Slow float64 `json:"slow"`
+	// SlowFactor multiplies the time of steps; 0 counts as 1.
+	SlowFactor float64 `json:"slow"`
 	// CrashAfterBytes breaks each stream off after so many bytes; 0 never.
 	CrashAfterBytes int `json:"crash_after_bytes"`
 	// Freeze stops all steps.
@@ -168,20 +168,20 @@
 		return idleStep
 	}
 	e.admit()
-	d := e.opts.StepBase + time.Duration(len(e.running))*e.opts.StepEach
+	d := e.opts.StepBase + time.Duration(len(e.running))*e.opts.StepPerSequence
 	for _, s := range e.running {
-		d += time.Duration(s.prefill) * e.opts.PrefillEach
+		d += time.Duration(s.prefill) * e.opts.PrefillPerToken
 		e.stats.Prefilled += s.prefill
 		s.prefill = 0
 	}
-	if e.faults.Slow > 0 {
-		d = time.Duration(float64(d) * e.faults.Slow)
+	if e.faults.SlowFactor > 0 {
+		d = time.Duration(float64(d) * e.faults.SlowFactor)
 	}
 	return d
 }
 
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.opts.Batch {
+	for len(e.waiting) > 0 && len(e.running) < e.opts.MaxBatch {
 		e.running = append(e.running, e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
--- a/pkg/standin/objectstore/platform.go
+++ b/pkg/standin/objectstore/platform.go
@@ -26,13 +26,13 @@
 	Down bool `json:"down"`
 	// Delay slows every call.
 	Delay time.Duration `json:"delay_ns"`
-	// LoseWrites is the number of coming writes that take effect and whose
+	// DropWriteResponses is the number of coming writes that take effect and whose
 	// answer is lost.
-	LoseWrites int `json:"lose_writes"`
+	DropWriteResponses int `json:"lose_writes"`
 	// Stale makes reads answer with the state as it was when Stale was set.
 	Stale bool `json:"stale"`
-	// BoxLag delays changes of the box list.
-	BoxLag time.Duration `json:"box_lag_ns"`
+	// BoxListLag delays changes of the box list.
+	BoxListLag time.Duration `json:"box_lag_ns"`
 }
 
 type stored struct {
@@ -308,9 +308,9 @@
 	s.version++
 	v := s.version
 	apply(key)
-	lost := s.faults.LoseWrites > 0
+	lost := s.faults.DropWriteResponses > 0
 	if lost {
-		s.faults.LoseWrites--
+		s.faults.DropWriteResponses--
 	}
 	s.wake()
 	s.mu.Unlock()
@@ -323,7 +323,7 @@
 func (s *Server) listBoxes(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	s.mu.Lock()
 	list := []objectstore.Box{}
-	limit := time.Now().Add(-s.faults.BoxLag)
+	limit := time.Now().Add(-s.faults.BoxListLag)
 	for _, v := range s.shown {
 		if !v.at.After(limit) {
 			list = v.boxes
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -20,9 +20,9 @@
 type Faults struct {
 	// Delay is the time that a run takes.
 	Delay time.Duration `json:"delay_ns"`
-	// LoseAnswer breaks the connection after the run, ResetBefore before it.
-	LoseAnswer  bool `json:"lose_answer"`
-	ResetBefore bool `json:"reset_before"`
+	// DropResponse breaks the connection after the run, ResetBeforeRun before it.
+	DropResponse   bool `json:"lose_answer"`
+	ResetBeforeRun bool `json:"reset_before"`
 	// Hang runs the call and never answers.
 	Hang bool `json:"hang"`
 	// Status is answered after the run instead of 200; 429 is answered instead
@@ -125,7 +125,7 @@
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
-	if f.ResetBefore {
+	if f.ResetBeforeRun {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Status == http.StatusTooManyRequests {
@@ -142,7 +142,7 @@
 		<-r.Context().Done()
 		return
 	}
-	if f.LoseAnswer {
+	if f.DropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if f.Status != 0 {
