--- a/pkg/measure/doc.go
+++ b/pkg/measure/doc.go
@@ -1,8 +1,8 @@
-// Package measure drives the scheduler through a day's load in virtual time and
-// measures, by class, what callers get: attainment, goodput and wasted work.
+// Package measure simulates a day's load on the scheduler in virtual time and
+// reports attainment, goodput and wasted work by class.
 //
-// It holds the scheduler itself, a small model of the engines (continuous
-// batching with steps that grow with the batch, a limited prefix cache, load
-// reports that lag, slow-downs, crashes) and a baseline policy to compare with.
-// It models no boxes and no network. The same seed gives the same figures.
+// It runs the production scheduler against a model of the engines: continuous
+// batching with batch-dependent step times, a bounded prefix cache, delayed load
+// reports, slow servers and crashes. A baseline policy serves for comparison.
+// Boxes and the network are not modelled. Results are deterministic for a seed.
 package measure
--- a/pkg/measure/report.go
+++ b/pkg/measure/report.go
@@ -7,49 +7,49 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// Summary is one variant over all seeds.
+// Summary aggregates the results of one variant over all seeds.
 type Summary struct {
-	Scenario  string         `json:"scenario"`
-	Variant   string         `json:"variant"`
-	Classes   []ClassSummary `json:"classes"`
-	Goodput   Spread         `json:"goodput"`
-	Tokens    Spread         `json:"burst_tokens"`
-	Occupancy Spread         `json:"occupancy"`
-	Wasted    Spread         `json:"wasted"`
+	Scenario    string         `json:"scenario"`
+	Variant     string         `json:"variant"`
+	Classes     []ClassSummary `json:"classes"`
+	Goodput     Spread         `json:"goodput"`
+	BurstTokens Spread         `json:"burst_tokens"`
+	Occupancy   Spread         `json:"occupancy"`
+	Wasted      Spread         `json:"wasted"`
 }
 
-// ClassSummary is one class over all seeds.
+// ClassSummary aggregates the results of one class over all seeds.
 type ClassSummary struct {
-	Class       string `json:"class"`
-	Attainment  Spread `json:"attainment"`
-	Burst       Spread `json:"burst_attainment"`
-	WorstOrg    Spread `json:"worst_organisation"`
-	FirstP95    Spread `json:"first_p95_ms"`
-	BetweenP95  Spread `json:"between_p95_ms"`
-	LongestWait Spread `json:"longest_wait_ms"`
-	Shed        Spread `json:"shed"`
-	Expired     Spread `json:"expired"`
-	// Returned is the share of callers who came back when told and were served.
-	Returned    Spread `json:"served_on_return"`
-	BurstStarts Spread `json:"burst_starts"`
+	Class             string `json:"class"`
+	Attainment        Spread `json:"attainment"`
+	BurstAttainment   Spread `json:"burst_attainment"`
+	WorstOrganisation Spread `json:"worst_organisation"`
+	FirstTokenP95Ms   Spread `json:"first_p95_ms"`
+	InterTokenP95Ms   Spread `json:"between_p95_ms"`
+	LongestWaitMs     Spread `json:"longest_wait_ms"`
+	Shed              Spread `json:"shed"`
+	Expired           Spread `json:"expired"`
+	// ServedOnRetry is the share of retrying callers that were served.
+	ServedOnRetry   Spread `json:"served_on_return"`
+	BurstStartShare Spread `json:"burst_starts"`
 }
 
-// job is one run to make.
+// job identifies one run by variant and seed.
 type job struct {
 	variant int
 	seed    uint64
 }
 
-// Measure runs every variant with seeds 1 to n and returns a summary of each. The
-// runs share nothing, so they go on all cores; the figures don't depend on it.
-func Measure(o Scenario, variants []Variant, n int) []Summary {
+// Measure runs every variant with seeds 1 to n in parallel and returns a summary
+// of each variant.
+func Measure(sc Scenario, variants []Variant, n int) []Summary {
 	var jobs []job
 	for v := range variants {
 		for s := range n {
 			jobs = append(jobs, job{variant: v, seed: uint64(s + 1)})
 		}
 	}
-	results := iter.Map(jobs, func(j *job) *Result { return Run(o, variants[j.variant], j.seed) })
+	results := iter.Map(jobs, func(j *job) *Result { return Run(sc, variants[j.variant], j.seed) })
 	list := make([]Summary, len(variants))
 	for v := range variants {
 		list[v] = summarise(results[v*n : (v+1)*n])
@@ -66,35 +66,35 @@
 		return spreadOf(values)
 	}
 	s := Summary{
-		Scenario:  results[0].Scenario,
-		Variant:   results[0].Variant,
-		Goodput:   of(func(r *Result) float64 { return r.Goodput }),
-		Tokens:    of(func(r *Result) float64 { return r.BurstTokens }),
-		Occupancy: of(func(r *Result) float64 { return r.Occupancy }),
-		Wasted:    of(func(r *Result) float64 { return r.Wasted }),
+		Scenario:    results[0].Scenario,
+		Variant:     results[0].Variant,
+		Goodput:     of(func(r *Result) float64 { return r.Goodput }),
+		BurstTokens: of(func(r *Result) float64 { return r.BurstTokens }),
+		Occupancy:   of(func(r *Result) float64 { return r.Occupancy }),
+		Wasted:      of(func(r *Result) float64 { return r.Wasted }),
 	}
 	for i, c := range results[0].Classes {
 		class := func(f func(*ClassResult) float64) Spread {
 			return of(func(r *Result) float64 { return f(r.Classes[i]) })
 		}
 		s.Classes = append(s.Classes, ClassSummary{
-			Class:       c.Class,
-			Attainment:  class(func(c *ClassResult) float64 { return c.Attainment }),
-			Burst:       class(func(c *ClassResult) float64 { return c.BurstAttainment }),
-			WorstOrg:    class(func(c *ClassResult) float64 { return c.WorstOrganisation }),
-			FirstP95:    class(func(c *ClassResult) float64 { return c.FirstP95 }),
-			BetweenP95:  class(func(c *ClassResult) float64 { return c.BetweenP95 }),
-			LongestWait: class(func(c *ClassResult) float64 { return c.LongestWait }),
-			Shed:        class(func(c *ClassResult) float64 { return float64(c.Shed) }),
-			Expired:     class(func(c *ClassResult) float64 { return float64(c.Expired) }),
-			Returned:    class(func(c *ClassResult) float64 { return ratio(c.Served, c.CameBack) }),
-			BurstStarts: class(func(c *ClassResult) float64 { return c.BurstStarts }),
+			Class:             c.Class,
+			Attainment:        class(func(c *ClassResult) float64 { return c.Attainment }),
+			BurstAttainment:   class(func(c *ClassResult) float64 { return c.BurstAttainment }),
+			WorstOrganisation: class(func(c *ClassResult) float64 { return c.WorstOrganisation }),
+			FirstTokenP95Ms:   class(func(c *ClassResult) float64 { return c.FirstTokenP95Ms }),
+			InterTokenP95Ms:   class(func(c *ClassResult) float64 { return c.InterTokenP95Ms }),
+			LongestWaitMs:     class(func(c *ClassResult) float64 { return c.LongestWaitMs }),
+			Shed:              class(func(c *ClassResult) float64 { return float64(c.Shed) }),
+			Expired:           class(func(c *ClassResult) float64 { return float64(c.Expired) }),
+			ServedOnRetry:     class(func(c *ClassResult) float64 { return ratio(c.ServedOnRetry, c.Retried) }),
+			BurstStartShare:   class(func(c *ClassResult) float64 { return c.BurstStartShare }),
 		})
 	}
 	return s
 }
 
-// percent formats a share with its range.
+// percent formats the mean and range of a share as percentages.
 func percent(s Spread) string {
 	return fmt.Sprintf("%.1f (%.1f-%.1f)", s.Mean*100, s.Min*100, s.Max*100)
 }
@@ -107,14 +107,14 @@
 	for _, s := range list {
 		for _, c := range s.Classes {
 			fmt.Fprintf(&b, "| %s | %s | %s | %s | %.1f | %.0f | %.1f | %.1f | %.0f | %.0f | %.1f | %.1f |\n",
-				s.Variant, c.Class, percent(c.Attainment), percent(c.Burst), c.WorstOrg.Mean*100, c.FirstP95.Mean, c.BetweenP95.Mean,
-				c.LongestWait.Max/1000, c.Shed.Mean, c.Expired.Mean, c.Returned.Mean*100, c.BurstStarts.Mean*100)
+				s.Variant, c.Class, percent(c.Attainment), percent(c.BurstAttainment), c.WorstOrganisation.Mean*100, c.FirstTokenP95Ms.Mean, c.InterTokenP95Ms.Mean,
+				c.LongestWaitMs.Max/1000, c.Shed.Mean, c.Expired.Mean, c.ServedOnRetry.Mean*100, c.BurstStartShare.Mean*100)
 		}
 	}
 	fmt.Fprintf(&b, "\n| variant | goodput /s | tokens/s in burst | slots in use in burst %% | wasted %% |\n| --- | --- | --- | --- | --- |\n")
 	for _, s := range list {
 		fmt.Fprintf(&b, "| %s | %.1f (%.1f-%.1f) | %.0f | %s | %.2f (%.2f-%.2f) |\n", s.Variant, s.Goodput.Mean, s.Goodput.Min, s.Goodput.Max,
-			s.Tokens.Mean, percent(s.Occupancy), s.Wasted.Mean*100, s.Wasted.Min*100, s.Wasted.Max*100)
+			s.BurstTokens.Mean, percent(s.Occupancy), s.Wasted.Mean*100, s.Wasted.Min*100, s.Wasted.Max*100)
 	}
 	return b.String()
 }
--- a/pkg/measure/result.go
+++ b/pkg/measure/result.go
@@ -9,73 +9,72 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// ClassResult is what the callers of one class got in one run.
+// ClassResult holds the results of one class in one run.
 type ClassResult struct {
 	Class string `json:"class"`
-	// Asked counts callers, whatever their number of tries.
-	Asked int `json:"asked"`
-	// Attainment is the share of callers whose whole answer came within the
-	// targets, counted from when they first asked. The burst's callers are counted
-	// apart besides.
+	// Requests counts requests; retries of a request are not counted again.
+	Requests int `json:"asked"`
+	// Attainment is the share of requests answered in full within the latency
+	// targets, measured from the first attempt. BurstAttainment covers only
+	// requests first made during the burst.
 	Attainment      float64 `json:"attainment"`
 	BurstAttainment float64 `json:"burst_attainment"`
-	// WorstOrganisation is the least attainment among organisations.
+	// WorstOrganisation is the lowest attainment of any organisation.
 	WorstOrganisation float64 `json:"worst_organisation"`
-	Done              int     `json:"done"`
-	// Shed counts refusals for a full queue, Expired those at or before the
-	// deadline.
+	Completed         int     `json:"done"`
+	// Expired counts refusals because of the deadline, Shed all others.
 	Shed    int `json:"shed"`
 	Expired int `json:"expired"`
-	// CameBack callers were refused and came back when told; Served of them got
-	// their answer then.
-	CameBack int `json:"came_back"`
-	Served   int `json:"served_on_return"`
-	// BurstStarts is the class's share of starts in the burst.
-	BurstStarts float64 `json:"burst_starts"`
-	// FirstP95, BetweenP95 and LongestWait are in milliseconds.
-	FirstP95    float64 `json:"first_p95_ms"`
-	BetweenP95  float64 `json:"between_p95_ms"`
-	LongestWait float64 `json:"longest_wait_ms"`
-
-	attained, burstAsked, burstAttained, starts int
-	first, between                              *hdrhistogram.Histogram
-	orgAsked, orgAttained                       map[string]int
-	longest                                     time.Duration
+	// Retried counts requests refused at the first attempt, ServedOnRetry those
+	// that completed at a later one.
+	Retried       int `json:"came_back"`
+	ServedOnRetry int `json:"served_on_return"`
+	// BurstStartShare is the class's share of starts in the burst.
+	BurstStartShare float64 `json:"burst_starts"`
+	FirstTokenP95Ms float64 `json:"first_p95_ms"`
+	InterTokenP95Ms float64 `json:"between_p95_ms"`
+	LongestWaitMs   float64 `json:"longest_wait_ms"`
+
+	attained, burstRequests, burstAttained, starts int
+	firstToken, interToken                         *hdrhistogram.Histogram
+	requestsByOrg, attainedByOrg                   map[string]int
+	longestWait                                    time.Duration
 }
 
-// Result is one run.
+// Result holds the results of one run.
 type Result struct {
 	Scenario string         `json:"scenario"`
 	Variant  string         `json:"variant"`
 	Seed     uint64         `json:"seed"`
 	Classes  []*ClassResult `json:"classes"`
-	// Goodput is answers within their targets a second, over the whole run and in
-	// the burst.
+	// Goodput is the rate per second of answers within their targets.
 	Goodput float64 `json:"goodput"`
-	// BurstTokens is delivered tokens a second in the burst.
+	// BurstTokens is the rate per second of tokens delivered by answers that
+	// completed during the burst.
 	BurstTokens float64 `json:"burst_tokens"`
-	// Occupancy is the share of the live servers' slots in use in the burst.
+	// Occupancy is the share of live servers' slots in use during the burst.
 	Occupancy float64 `json:"occupancy"`
-	// Wasted is the share of tokens, read and generated, that did not reach a
-	// caller or were done twice.
+	// Wasted is the share of prefilled and generated tokens that did not reach a
+	// caller or were processed twice.
 	Wasted float64 `json:"wasted"`
 
-	byClass                map[string]*ClassResult
-	work, waste            int
-	burstTokens            int
-	occupancy, occupancyOf float64
-	opts                   *Scenario
+	byClass                       map[string]*ClassResult
+	processedTokens, wastedTokens int
+	burstTokens                   int
+	slotsInUse, slotsAvailable    float64
+	scenario                      *Scenario
 }
 
-const histogramMost = int64(10 * time.Minute / time.Microsecond)
+// maxHistogramUs is the largest latency that the histograms resolve.
+const maxHistogramUs = int64(10 * time.Minute / time.Microsecond)
 
-func newResult(o *Scenario, variant string, seed uint64) *Result {
-	r := &Result{Scenario: o.Name, Variant: variant, Seed: seed, byClass: make(map[string]*ClassResult), opts: o}
-	for _, c := range o.Classes {
+func newResult(sc *Scenario, variant string, seed uint64) *Result {
+	r := &Result{Scenario: sc.Name, Variant: variant, Seed: seed, byClass: make(map[string]*ClassResult), scenario: sc}
+	for _, c := range sc.Classes {
 		cr := &ClassResult{
-			Class: c.Name,
-			first: hdrhistogram.New(1, histogramMost, 3), between: hdrhistogram.New(1, histogramMost, 3),
-			orgAsked: make(map[string]int), orgAttained: make(map[string]int),
+			Class:      c.Name,
+			firstToken: hdrhistogram.New(1, maxHistogramUs, 3), interToken: hdrhistogram.New(1, maxHistogramUs, 3),
+			requestsByOrg: make(map[string]int), attainedByOrg: make(map[string]int),
 		}
 		r.Classes = append(r.Classes, cr)
 		r.byClass[c.Name] = cr
@@ -83,130 +82,131 @@
 	return r
 }
 
-// settleFor is how long after its target an answer may take to end.
-const settleFor = 30 * second
+// settleTime is the time allowed for an answer to complete after its first-token
+// target.
+const settleTime = 30 * second
 
-// settled tells whether a caller's end can be judged: those who asked shortly
-// before the run's end can't.
-func (r *Result) settled(c *call) bool {
-	return c.firstAsked < r.opts.Duration-c.class.FirstTokenTarget-settleFor
+// measurable reports whether a request was made early enough to complete before
+// the run ends.
+func (r *Result) measurable(c *call) bool {
+	return c.requestedAt < r.scenario.Duration-c.class.FirstTokenTarget-settleTime
 }
 
 func (r *Result) inBurst(t time.Duration) bool {
-	return t >= r.opts.BurstAt && t < r.opts.BurstAt+r.opts.BurstFor
+	return t >= r.scenario.BurstStart && t < r.scenario.BurstStart+r.scenario.BurstDuration
 }
 
-func (r *Result) asked(c *call) {
-	if !r.settled(c) {
+func (r *Result) recordRequest(c *call) {
+	if !r.measurable(c) {
 		return
 	}
 	cr := r.byClass[c.class.Name]
-	cr.Asked++
-	cr.orgAsked[c.organisation]++
-	if r.inBurst(c.firstAsked) {
-		cr.burstAsked++
+	cr.Requests++
+	cr.requestsByOrg[c.organisation]++
+	if r.inBurst(c.requestedAt) {
+		cr.burstRequests++
 	}
 }
 
-func (r *Result) refused(c *call, reason scheduler.Reason) {
+func (r *Result) recordRefusal(c *call, reason scheduler.Reason) {
 	cr := r.byClass[c.class.Name]
 	if reason == scheduler.ReasonDeadline {
 		cr.Expired++
 	} else {
 		cr.Shed++
 	}
-	if c.tries == 1 {
-		cr.CameBack++
+	if c.attempts == 1 {
+		cr.Retried++
 	}
 }
 
-func (r *Result) started(c *call, now time.Duration) {
+func (r *Result) recordStart(c *call, now time.Duration) {
 	cr := r.byClass[c.class.Name]
 	if r.inBurst(now) {
 		cr.starts++
 	}
 	if c.delivered == 0 {
-		cr.longest = max(cr.longest, now-c.arrivedAt)
+		cr.longestWait = max(cr.longestWait, now-c.attemptedAt)
 	}
 }
 
-func (r *Result) worked(read, generated int) { r.work += read + generated }
+func (r *Result) addProcessedTokens(read, generated int) { r.processedTokens += read + generated }
 
-func (r *Result) wasted(tokens int) { r.waste += tokens }
+func (r *Result) addWastedTokens(tokens int) { r.wastedTokens += tokens }
 
-func (r *Result) ended(c *call, done bool, now time.Duration) {
+func (r *Result) recordEnd(c *call, done bool, now time.Duration) {
 	cr := r.byClass[c.class.Name]
 	if !done {
-		r.waste += c.delivered
+		r.wastedTokens += c.delivered
 		return
 	}
-	cr.Done++
-	if c.tries > 1 {
-		cr.Served++
+	cr.Completed++
+	if c.attempts > 1 {
+		cr.ServedOnRetry++
 	}
 	if r.inBurst(now) {
 		r.burstTokens += c.delivered
 	}
-	first := c.firstAt - c.firstAsked
-	var between time.Duration
+	firstToken := c.firstTokenAt - c.requestedAt
+	var interToken time.Duration
 	if c.delivered > 1 {
-		between = (c.lastAt - c.firstAt) / time.Duration(c.delivered-1)
+		interToken = (c.lastTokenAt - c.firstTokenAt) / time.Duration(c.delivered-1)
 	}
-	_ = cr.first.RecordValue(min(first.Microseconds(), histogramMost))
-	_ = cr.between.RecordValue(min(between.Microseconds(), histogramMost))
-	if !within(first, c.class.FirstTokenTarget) || !within(between, c.class.InterTokenTarget) || !r.settled(c) {
+	_ = cr.firstToken.RecordValue(min(firstToken.Microseconds(), maxHistogramUs))
+	_ = cr.interToken.RecordValue(min(interToken.Microseconds(), maxHistogramUs))
+	if !within(firstToken, c.class.FirstTokenTarget) || !within(interToken, c.class.InterTokenTarget) || !r.measurable(c) {
 		return
 	}
 	cr.attained++
-	cr.orgAttained[c.organisation]++
-	if r.inBurst(c.firstAsked) {
+	cr.attainedByOrg[c.organisation]++
+	if r.inBurst(c.requestedAt) {
 		cr.burstAttained++
 	}
 }
 
 func within(d, target time.Duration) bool { return target <= 0 || d <= target }
 
-// watch samples the occupancy in the burst, leaving out its first seconds, in
-// which the servers fill.
-func (r *Result) watch(run *run) func() {
-	const fill = 5 * second
+// occupancySampler returns a function that samples the occupancy during the burst,
+// after the time in which the servers fill up.
+func (r *Result) occupancySampler(sim *simulation) func() {
+	const fillTime = 5 * second
 	return func() {
-		if !r.inBurst(run.now) || run.now < r.opts.BurstAt+fill {
+		if !r.inBurst(sim.now) || sim.now < r.scenario.BurstStart+fillTime {
 			return
 		}
-		for _, s := range run.servers {
+		for _, s := range sim.servers {
 			if !s.down {
-				r.occupancy += float64(min(len(s.running), s.slots()))
-				r.occupancyOf += float64(s.slots())
+				r.slotsInUse += float64(min(len(s.running), s.slots()))
+				r.slotsAvailable += float64(s.slots())
 			}
 		}
 	}
 }
 
-func (r *Result) finish(*run) {
+func (r *Result) computeFigures(*simulation) {
 	attained, starts := 0, 0
 	for _, c := range r.Classes {
 		starts += c.starts
 	}
 	for _, c := range r.Classes {
 		attained += c.attained
-		c.Attainment = ratio(c.attained, c.Asked)
-		c.BurstAttainment = ratio(c.burstAttained, c.burstAsked)
-		c.BurstStarts = ratio(c.starts, starts)
-		c.FirstP95 = float64(c.first.ValueAtQuantile(95)) / 1000
-		c.BetweenP95 = float64(c.between.ValueAtQuantile(95)) / 1000
-		c.LongestWait = float64(c.longest.Milliseconds())
+		c.Attainment = ratio(c.attained, c.Requests)
+		c.BurstAttainment = ratio(c.burstAttained, c.burstRequests)
+		c.BurstStartShare = ratio(c.starts, starts)
+		c.FirstTokenP95Ms = float64(c.firstToken.ValueAtQuantile(95)) / 1000
+		c.InterTokenP95Ms = float64(c.interToken.ValueAtQuantile(95)) / 1000
+		c.LongestWaitMs = float64(c.longestWait.Milliseconds())
 		c.WorstOrganisation = 1
-		for o, n := range c.orgAsked {
-			c.WorstOrganisation = min(c.WorstOrganisation, ratio(c.orgAttained[o], n))
+		for org, n := range c.requestsByOrg {
+			c.WorstOrganisation = min(c.WorstOrganisation, ratio(c.attainedByOrg[org], n))
 		}
 	}
-	r.Goodput = float64(attained) / r.opts.Duration.Seconds()
-	r.BurstTokens = float64(r.burstTokens) / r.opts.BurstFor.Seconds()
-	if r.occupancyOf > 0 {
-		r.Occupancy = r.occupancy / r.occupancyOf
+	r.Goodput = float64(attained) / r.scenario.Duration.Seconds()
+	r.BurstTokens = float64(r.burstTokens) / r.scenario.BurstDuration.Seconds()
+	if r.slotsAvailable > 0 {
+		r.Occupancy = r.slotsInUse / r.slotsAvailable
 	}
-	r.Wasted = ratio(r.waste, r.work)
+	r.Wasted = ratio(r.wastedTokens, r.processedTokens)
 }
 
 func ratio(a, b int) float64 {
@@ -216,7 +216,7 @@
 	return float64(a) / float64(b)
 }
 
-// Spread is the mean and the range of a figure over the seeds.
+// Spread is the mean and range of a metric over all seeds.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -11,7 +11,7 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// call is one caller's request, over all its tries.
+// call is one request, including its retries.
 type call struct {
 	seq          uint64
 	class        *ClassLoad
@@ -19,26 +19,27 @@
 	promptTokens int
 	outputTokens int
 	prefix       int
-	// firstAsked is when the caller first asked, arrivedAt when this try began.
-	firstAsked, arrivedAt time.Duration
-	tries                 int
-	avoid                 int
-	// server it is on, -1 while it waits.
-	server    int
-	delivered int
-	firstAt   time.Duration
-	lastAt    time.Duration
-	ended     bool
-	// lostRead is the number of tokens that a crashed server had read for the
-	// call: what the next one reads of them is done twice.
-	lostRead int
+	// requestedAt is the time of the first attempt, attemptedAt that of the current
+	// one.
+	requestedAt, attemptedAt time.Duration
+	attempts                 int
+	avoidServer              int
+	// server is the index of the server running the call, -1 while it waits.
+	server       int
+	delivered    int
+	firstTokenAt time.Duration
+	lastTokenAt  time.Duration
+	ended        bool
+	// lostTokens is the number of tokens that a crashed server had processed for
+	// the call; the next server's prefill counts as waste up to this number.
+	lostTokens int
 }
 
-func (c *call) token(now time.Duration) {
+func (c *call) addToken(now time.Duration) {
 	c.delivered++
-	c.lastAt = now
+	c.lastTokenAt = now
 	if c.delivered == 1 {
-		c.firstAt = now
+		c.firstTokenAt = now
 	}
 }
 
@@ -50,370 +51,375 @@
 	return list
 }
 
-// event is something that happens at a time.
+// event is an action scheduled at a virtual time.
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type events []event
+// eventQueue is a heap of events ordered by time, then by scheduling order.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
 	return e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// run is one run under way.
-type run struct {
-	opts     Scenario
+// simulation is the state of one run.
+type simulation struct {
+	scenario Scenario
 	baseline bool
 	policy   policy
 	rng      *rand.Rand
 	now      time.Duration
-	events   events
-	seq      int
-	calls    uint64
+	events   eventQueue
+	eventSeq int
+	callSeq  uint64
 	servers  []*server
 	result   *Result
-	// ownerless is set between an owner's loss and its successor's start.
+	// ownerless is set from the loss of the shard's owner until its successor
+	// starts; calls are parked meanwhile.
 	ownerless bool
 	parked    []*call
 }
 
 const (
-	tickEvery   = 25 * time.Millisecond
-	reportEvery = 500 * time.Millisecond
-	// comeBacks is how often a refused caller comes back when told to.
-	comeBacks = 2
-	// reconnect is the time until a call that met a dead server is tried again.
-	reconnect = 20 * time.Millisecond
+	tickInterval   = 25 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
+	// maxRetries is the number of times that a refused caller retries.
+	maxRetries = 2
+	// reconnectDelay is the time until a call sent to a dead server is placed again.
+	reconnectDelay = 20 * time.Millisecond
 )
 
 // Run runs a scenario once.
-func Run(o Scenario, v Variant, seed uint64) *Result {
+func Run(sc Scenario, v Variant, seed uint64) *Result {
 	if v.Modify != nil {
-		v.Modify(&o)
+		v.Modify(&sc)
 	}
-	r := &run{opts: o, baseline: v.Baseline, rng: rand.New(rand.NewPCG(seed, 7)), result: newResult(&o, v.Name, seed)}
-	r.policy = newHeadhill(&o, v.Ablations, seed)
+	r := &simulation{scenario: sc, baseline: v.Baseline, rng: rand.New(rand.NewPCG(seed, 7)), result: newResult(&sc, v.Name, seed)}
+	r.policy = newSchedulerPolicy(&sc, v.Ablations, seed)
 	if v.Baseline {
-		r.policy = newBaseline(&o, seed)
+		r.policy = newBaselinePolicy(&sc, seed)
 	}
-	for i := range o.Servers {
-		r.servers = append(r.servers, newServer(i, &r.opts))
+	for i := range sc.Servers {
+		r.servers = append(r.servers, newServer(i, &r.scenario))
 	}
-	r.plan()
+	r.scheduleEvents()
 	for len(r.events) > 0 {
 		e := heap.Pop(&r.events).(event)
-		if e.at > o.Duration {
+		if e.at > sc.Duration {
 			break
 		}
 		r.now = e.at
-		e.do()
+		e.action()
 	}
-	r.result.finish(r)
+	r.result.computeFigures(r)
 	return r.result
 }
 
-func (r *run) at(t time.Duration, do func()) {
-	r.seq++
-	heap.Push(&r.events, event{at: t, seq: r.seq, do: do})
+func (r *simulation) schedule(t time.Duration, action func()) {
+	r.eventSeq++
+	heap.Push(&r.events, event{at: t, seq: r.eventSeq, action: action})
 }
 
-func (r *run) every(d time.Duration, do func()) {
+func (r *simulation) repeat(d time.Duration, action func()) {
 	var again func()
 	again = func() {
-		do()
-		r.at(r.now+d, again)
+		action()
+		r.schedule(r.now+d, again)
 	}
-	r.at(d, again)
+	r.schedule(d, again)
 }
 
-// plan sets everything up that happens by itself.
-func (r *run) plan() {
-	for i := range r.opts.Classes {
-		r.nextArrival(&r.opts.Classes[i], 0)
+// scheduleEvents schedules arrivals, ticks, load reports, sampling and faults.
+func (r *simulation) scheduleEvents() {
+	for i := range r.scenario.Classes {
+		r.nextArrival(&r.scenario.Classes[i], 0)
 	}
-	r.every(tickEvery, func() {
+	r.repeat(tickInterval, func() {
 		r.policy.tick(r.now)
-		r.apply()
+		r.applyDecisions()
 	})
-	r.every(reportEvery, r.reports)
-	r.every(100*time.Millisecond, r.result.watch(r))
-	f := r.opts.Faults
-	if f.Slow > 0 {
-		r.at(f.SlowAt, func() {
-			for _, s := range r.servers[:f.Slow] {
-				s.slow = f.SlowFactor
+	r.repeat(reportInterval, r.reportLoads)
+	r.repeat(100*time.Millisecond, r.result.occupancySampler(r))
+	f := r.scenario.Faults
+	if f.SlowServers > 0 {
+		r.schedule(f.SlowAt, func() {
+			for _, s := range r.servers[:f.SlowServers] {
+				s.slowFactor = f.SlowFactor
 			}
 		})
 	}
-	if f.Lost > 0 {
-		r.at(f.LostAt, func() {
-			for _, s := range r.servers[:f.Lost] {
-				r.crash(s)
+	if f.LostServers > 0 {
+		r.schedule(f.LostAt, func() {
+			for _, s := range r.servers[:f.LostServers] {
+				r.crashServer(s)
 			}
 		})
 	}
-	if f.CrashEvery > 0 {
+	if f.CrashInterval > 0 {
 		next := 0
-		r.every(f.CrashEvery, func() {
-			s := r.servers[(r.opts.Faults.Lost+next)%len(r.servers)]
+		r.repeat(f.CrashInterval, func() {
+			s := r.servers[(r.scenario.Faults.LostServers+next)%len(r.servers)]
 			next++
-			r.crash(s)
-			r.at(r.now+f.CrashFor, func() { s.down = false })
+			r.crashServer(s)
+			r.schedule(r.now+f.CrashDuration, func() { s.down = false })
 		})
 	}
-	if h, ok := r.policy.(*headhill); ok && f.OwnerLostAt > 0 {
-		r.at(f.OwnerLostAt, func() { r.ownerless = true })
-		r.at(f.OwnerLostAt+f.OwnerGap, func() { r.newOwner(h) })
+	if p, ok := r.policy.(*schedulerPolicy); ok && f.OwnerLostAt > 0 {
+		r.schedule(f.OwnerLostAt, func() { r.ownerless = true })
+		r.schedule(f.OwnerLostAt+f.OwnerFailoverDelay, func() { r.startNewOwner(p) })
 	}
 }
 
-// capacity is the number of calls of a class a second that fill all engines.
-func (r *run) capacity(c *ClassLoad) float64 {
-	each := float64(r.opts.Batch)
-	step := r.opts.StepBase.Seconds() + each*r.opts.StepEach.Seconds()
-	prompt := mean(c.PromptTokens, c.PromptSpread)
-	output := mean(c.OutputTokens, c.OutputSpread)
-	// A sequence holds its slot for its tokens' steps; reading prompts, mostly
-	// from the cache, makes the engine's steps longer.
-	read := prompt * (1 - cachedShare/2) * r.opts.PrefillEach.Seconds()
-	perCall := output*step/each + read
-	return float64(r.opts.Servers*r.opts.EnginesPerServer) / perCall
+// capacity returns the rate per second of calls of a class that saturates all
+// engines.
+func (r *simulation) capacity(c *ClassLoad) float64 {
+	batch := float64(r.scenario.MaxBatch)
+	step := r.scenario.StepBase.Seconds() + batch*r.scenario.StepPerSequence.Seconds()
+	prompt := logNormalMean(c.PromptTokensMedian, c.PromptTokensSigma)
+	output := logNormalMean(c.OutputTokensMedian, c.OutputTokensSigma)
+	// A sequence occupies its slot for one step per output token. Prefill lengthens
+	// the engine's steps; half of the prompts are taken to hit the prefix cache.
+	prefill := prompt * (1 - cachedPromptShare/2) * r.scenario.PrefillPerToken.Seconds()
+	perCall := output*step/batch + prefill
+	return float64(r.scenario.Servers*r.scenario.EnginesPerServer) / perCall
 }
 
-// mean of a log-normal distribution by its median and sigma.
-func mean(median, sigma float64) float64 { return median * math.Exp(sigma*sigma/2) }
+// logNormalMean returns the mean of a log-normal distribution.
+func logNormalMean(median, sigma float64) float64 { return median * math.Exp(sigma*sigma/2) }
 
-func (r *run) nextArrival(c *ClassLoad, after time.Duration) {
-	share := c.Base
+func (r *simulation) nextArrival(c *ClassLoad, after time.Duration) {
+	share := c.BaseShare
 	if r.inBurst(after) {
-		share = c.Burst
+		share = c.BurstShare
 	}
 	rate := share * r.capacity(c)
 	if rate <= 0 {
-		r.at(after+second, func() { r.nextArrival(c, r.now) })
+		r.schedule(after+second, func() { r.nextArrival(c, r.now) })
 		return
 	}
 	t := after + time.Duration(r.rng.ExpFloat64()/rate*float64(second))
 	if r.inBurst(t) != r.inBurst(after) {
-		// The rate changes before that: draw again from there.
-		edge := r.opts.BurstAt
+		// The rate changes before that arrival: draw again from the change on.
+		edge := r.scenario.BurstStart
 		if after >= edge {
-			edge += r.opts.BurstFor
+			edge += r.scenario.BurstDuration
 		}
-		r.at(edge, func() { r.nextArrival(c, r.now) })
+		r.schedule(edge, func() { r.nextArrival(c, r.now) })
 		return
 	}
-	r.at(t, func() {
-		r.arrive(r.newCall(c))
+	r.schedule(t, func() {
+		r.startAttempt(r.newCall(c))
 		r.nextArrival(c, r.now)
 	})
 }
 
-func (r *run) inBurst(t time.Duration) bool {
-	return t >= r.opts.BurstAt && t < r.opts.BurstAt+r.opts.BurstFor
+func (r *simulation) inBurst(t time.Duration) bool {
+	return t >= r.scenario.BurstStart && t < r.scenario.BurstStart+r.scenario.BurstDuration
 }
 
 const (
-	promptMost = 8000
-	outputMost = 3000
+	maxPromptTokens = 8000
+	maxOutputTokens = 3000
 )
 
-func (r *run) newCall(c *ClassLoad) *call {
-	size := func(median, sigma float64, most int) int {
-		return min(most, max(1, int(median*math.Exp(sigma*r.rng.NormFloat64()))))
+func (r *simulation) newCall(c *ClassLoad) *call {
+	size := func(median, sigma float64, limit int) int {
+		return min(limit, max(1, int(median*math.Exp(sigma*r.rng.NormFloat64()))))
 	}
 	org := r.organisation()
 	n := &call{
 		class:        c,
 		organisation: string(rune('a' + org)),
-		promptTokens: size(c.PromptTokens, c.PromptSpread, promptMost),
-		outputTokens: size(c.OutputTokens, c.OutputSpread, outputMost),
-		prefix:       1 + org*1000 + r.rng.IntN(r.opts.Prefixes)*10 + c.Tier,
-		firstAsked:   r.now,
+		promptTokens: size(c.PromptTokensMedian, c.PromptTokensSigma, maxPromptTokens),
+		outputTokens: size(c.OutputTokensMedian, c.OutputTokensSigma, maxOutputTokens),
+		prefix:       1 + org*1000 + r.rng.IntN(r.scenario.Prefixes)*10 + c.Tier,
+		requestedAt:  r.now,
 	}
-	r.result.asked(n)
+	r.result.recordRequest(n)
 	return n
 }
 
-func (r *run) organisation() int {
+func (r *simulation) organisation() int {
 	sum := 0.0
-	for _, w := range r.opts.Weights {
+	for _, w := range r.scenario.Weights {
 		sum += w
 	}
 	x := r.rng.Float64() * sum
-	for i, w := range r.opts.Weights {
+	for i, w := range r.scenario.Weights {
 		if x -= w; x < 0 {
 			return i
 		}
 	}
-	return len(r.opts.Weights) - 1
+	return len(r.scenario.Weights) - 1
 }
 
-// arrive begins one try of a call.
-func (r *run) arrive(c *call) {
-	c.arrivedAt = r.now
-	c.tries++
+// startAttempt begins one attempt of a call.
+func (r *simulation) startAttempt(c *call) {
+	c.attemptedAt = r.now
+	c.attempts++
 	r.place(c, -1)
 }
 
-// place asks the policy for a server, not the one to avoid.
-func (r *run) place(c *call, avoid int) {
-	r.calls++
-	c.seq = r.calls
-	c.server, c.avoid = -1, avoid
+// place asks the policy for a server other than avoidServer.
+func (r *simulation) place(c *call, avoidServer int) {
+	r.callSeq++
+	c.seq = r.callSeq
+	c.server, c.avoidServer = -1, avoidServer
 	if r.ownerless {
 		r.parked = append(r.parked, c)
 		return
 	}
 	r.policy.reserve(r.now, c)
-	r.apply()
+	r.applyDecisions()
 }
 
-// newOwner begins the next owner with what the entry boxes hold.
-func (r *run) newOwner(h *headhill) {
+// startNewOwner starts the next owner of the shard and submits the parked calls.
+func (r *simulation) startNewOwner(p *schedulerPolicy) {
 	r.ownerless = false
-	h.handOver(r.now, uint64(r.seq))
+	p.failOver(r.now, uint64(r.eventSeq))
 	parked := r.parked
 	r.parked = nil
-	r.apply()
+	r.applyDecisions()
 	for _, c := range parked {
 		r.policy.reserve(r.now, c)
-		r.apply()
+		r.applyDecisions()
 	}
 }
 
-// apply carries the policy's decisions out.
-func (r *run) apply() {
+// applyDecisions carries out the policy's decisions.
+func (r *simulation) applyDecisions() {
 	if r.ownerless {
 		return
 	}
 	for {
-		list := r.policy.take()
+		list := r.policy.takeDecisions()
 		if len(list) == 0 {
 			return
 		}
 		for _, d := range list {
 			if d.refused {
-				r.refused(d.call, d)
+				r.handleRefusal(d.call, d)
 				continue
 			}
-			r.begin(d.call, d.server)
+			r.dispatch(d.call, d.server)
 		}
 	}
 }
 
-func (r *run) refused(c *call, d decision) {
-	r.result.refused(c, d.reason)
-	if c.delivered > 0 || c.tries > comeBacks {
-		r.end(c, false)
+func (r *simulation) handleRefusal(c *call, d decision) {
+	r.result.recordRefusal(c, d.reason)
+	if c.delivered > 0 || c.attempts > maxRetries {
+		r.endCall(c, false)
 		return
 	}
-	r.at(r.now+d.retryAfter, func() { r.arrive(c) })
+	r.schedule(r.now+d.retryAfter, func() { r.startAttempt(c) })
 }
 
-func (r *run) begin(c *call, i int) {
+func (r *simulation) dispatch(c *call, i int) {
 	s := r.servers[i]
 	if s.down {
-		r.at(r.now+reconnect, func() {
+		r.schedule(r.now+reconnectDelay, func() {
 			r.policy.finish(r.now, c, scheduler.Completion{Result: scheduler.ResultFailed})
 			r.place(c, i)
 		})
 		return
 	}
 	c.server = i
-	r.result.started(c, r.now)
+	r.result.recordStart(c, r.now)
 	q := s.add(r.now, c)
-	r.result.wasted(min(q.prefill, c.lostRead))
-	c.lostRead = 0
-	s.note(r.now)
+	r.result.addWastedTokens(min(q.prefillLeft, c.lostTokens))
+	c.lostTokens = 0
+	s.recordLoad(r.now)
 	if r.baseline {
-		r.giveUpLater(c, c.seq)
+		r.scheduleDeadline(c, c.seq)
 	}
 	r.step(s)
 }
 
-// giveUpLater ends a call of the baseline that has no token by its deadline.
-func (r *run) giveUpLater(c *call, seq uint64) {
-	r.at(max(r.now, c.arrivedAt+c.class.Deadline), func() {
+// scheduleDeadline schedules the refusal of a baseline call that has produced no
+// token by its deadline.
+func (r *simulation) scheduleDeadline(c *call, seq uint64) {
+	r.schedule(max(r.now, c.attemptedAt+c.class.Deadline), func() {
 		if c.seq != seq || c.ended || c.delivered > 0 || c.server < 0 {
 			return
 		}
 		s := r.servers[c.server]
 		for _, q := range s.running {
 			if q.call == c {
-				r.result.wasted(q.read)
+				r.result.addWastedTokens(q.prefilled)
 			}
 		}
 		s.remove(r.now, c)
-		r.refused(c, decision{reason: scheduler.ReasonDeadline, retryAfter: second})
+		r.handleRefusal(c, decision{reason: scheduler.ReasonDeadline, retryAfter: second})
 	})
 }
 
-// step begins the next step of a server, if there is work and none under way.
-func (r *run) step(s *server) {
+// step starts the next step of a server that has work and no step in progress.
+func (r *simulation) step(s *server) {
 	if s.stepping || s.down || len(s.running) == 0 {
 		return
 	}
 	s.stepping = true
 	epoch := s.epoch
-	r.at(r.now+s.stepTime(), func() {
+	r.schedule(r.now+s.stepTime(), func() {
 		if s.epoch != epoch {
 			return
 		}
 		s.stepping = false
 		ended, read, generated := s.step(r.now)
-		r.result.worked(read, generated)
+		r.result.addProcessedTokens(read, generated)
 		for _, q := range ended {
-			r.finished(q)
+			r.completeCall(q)
 		}
 		r.step(s)
 	})
 }
 
-func (r *run) finished(q *sequence) {
+func (r *simulation) completeCall(q *sequence) {
 	c := q.call
-	done := scheduler.Completion{Result: scheduler.ResultDone, OutputTokens: q.generated, TimeToFirstToken: q.firstAt - q.startedAt}
+	done := scheduler.Completion{Result: scheduler.ResultDone, OutputTokens: q.generated, TimeToFirstToken: q.firstTokenAt - q.startedAt}
 	if q.generated > 1 {
-		done.InterTokenLatency = (r.now - q.firstAt) / time.Duration(q.generated-1)
+		done.InterTokenLatency = (r.now - q.firstTokenAt) / time.Duration(q.generated-1)
 	}
 	c.server = -1
-	r.end(c, true)
+	r.endCall(c, true)
 	r.policy.finish(r.now, c, done)
-	r.apply()
+	r.applyDecisions()
 }
 
-func (r *run) end(c *call, done bool) {
+func (r *simulation) endCall(c *call, done bool) {
 	c.ended = true
-	r.result.ended(c, done, r.now)
+	r.result.recordEnd(c, done, r.now)
 }
 
-// crash loses a server's calls. The scheduler's boxes have them go on elsewhere
-// from what was delivered; the baseline begins them again.
-func (r *run) crash(s *server) {
+// crashServer takes a server down and places its calls elsewhere. With the
+// scheduler they continue after the tokens already delivered; with the baseline
+// they start over.
+func (r *simulation) crashServer(s *server) {
 	if s.down {
 		return
 	}
 	for _, q := range s.crash(r.now) {
 		c := q.call
 		c.server = -1
-		c.lostRead = q.read + q.generated
+		c.lostTokens = q.prefilled + q.generated
 		if r.baseline {
-			r.result.wasted(c.delivered)
+			r.result.addWastedTokens(c.delivered)
 			c.delivered = 0
 		}
 		r.policy.finish(r.now, c, scheduler.Completion{Result: scheduler.ResultFailed, OutputTokens: q.generated})
@@ -421,9 +427,9 @@
 	}
 }
 
-func (r *run) reports() {
+func (r *simulation) reportLoads() {
 	for i, s := range r.servers {
-		r.policy.report(r.now, i, s.reported(r.now, r.opts.Faults.ReportLag), s.down)
+		r.policy.reportLoad(r.now, i, s.delayedLoad(r.now, r.scenario.Faults.ReportLag), s.down)
 	}
-	r.apply()
+	r.applyDecisions()
 }
--- a/pkg/measure/scenario.go
+++ b/pkg/measure/scenario.go
@@ -6,129 +6,128 @@
 	"headhill.example/headhill/pkg/scheduler"
 )
 
-// ClassLoad is a class and the calls it brings.
+// ClassLoad is a class and the load of its calls.
 type ClassLoad struct {
 	scheduler.Class
-	// Deadline bounds the wait for a start.
+	// Deadline is the longest wait for a start.
 	Deadline time.Duration
-	// Base and Burst are the calls' share of the engines' capacity, in ordinary
-	// times and in the burst.
-	Base, Burst float64
-	// PromptTokens and OutputTokens are the medians of log-normal sizes, with the
-	// given spread (sigma); outputs have the longer tail.
-	PromptTokens, OutputTokens float64
-	PromptSpread, OutputSpread float64
+	// BaseShare and BurstShare are the load as a share of the engines' capacity,
+	// outside and during the burst.
+	BaseShare, BurstShare float64
+	// Sizes of prompts and outputs are log-normally distributed.
+	PromptTokensMedian, OutputTokensMedian float64
+	PromptTokensSigma, OutputTokensSigma   float64
 }
 
-// Faults of a run. Times count from its start.
+// Faults are injected into a run. Times are relative to its start.
 type Faults struct {
 	// ReportLag delays load reports.
 	ReportLag time.Duration
-	// Slow servers step SlowFactor times slower from SlowAt on.
-	Slow       int
-	SlowFactor float64
-	SlowAt     time.Duration
-	// Lost servers are gone from LostAt to the end.
-	Lost   int
-	LostAt time.Duration
-	// CrashEvery crashes one server in turn, which is back after CrashFor.
-	CrashEvery, CrashFor time.Duration
-	// OwnerLostAt takes the shard's owner away; its successor begins after
-	// OwnerGap with what the entry boxes register.
-	OwnerLostAt, OwnerGap time.Duration
+	// From SlowAt on, steps of SlowServers servers take SlowFactor times as long.
+	SlowServers int
+	SlowFactor  float64
+	SlowAt      time.Duration
+	// LostServers servers are down from LostAt until the end of the run.
+	LostServers int
+	LostAt      time.Duration
+	// Every CrashInterval the next server crashes; it is back after CrashDuration.
+	CrashInterval, CrashDuration time.Duration
+	// OwnerLostAt is the time at which the shard loses its owner; the successor
+	// starts after OwnerFailoverDelay.
+	OwnerLostAt, OwnerFailoverDelay time.Duration
 }
 
-// Scenario is a service and a day of its load, compressed.
+// Scenario describes a service and a day of its load, compressed into a short run.
 type Scenario struct {
 	Name    string
 	Classes []ClassLoad
-	// Servers of EnginesPerServer engines, each batching up to Batch sequences.
-	Servers, EnginesPerServer, Batch int
-	// StepBase, StepEach and PrefillEach make the time of a step: a constant, so
-	// much for each sequence of an engine, so much for each prompt token to read.
-	StepBase, StepEach, PrefillEach time.Duration
-	// CachedPrefixes is the number of prompt prefixes that a server keeps.
+	// MaxBatch is the number of sequences that one engine batches.
+	Servers, EnginesPerServer, MaxBatch int
+	// The time of a step is StepBase, plus StepPerSequence for each sequence of the
+	// engine, plus PrefillPerToken for each prompt token to prefill.
+	StepBase, StepPerSequence, PrefillPerToken time.Duration
+	// CachedPrefixes is the capacity of a server's prefix cache.
 	CachedPrefixes int
-	// Prefixes is the number of different prompt prefixes of each organisation.
+	// Prefixes is the number of distinct prompt prefixes of each organisation.
 	Prefixes int
-	// Weights are the organisations' shares of the calls.
+	// Weights are the relative call rates of the organisations.
 	Weights []float64
-	// Duration of the run, and the burst within it.
-	Duration, BurstAt, BurstFor time.Duration
-	Queue, Headroom             int
-	Faults                      Faults
+	// The burst starts at BurstStart and lasts for BurstDuration.
+	Duration, BurstStart, BurstDuration time.Duration
+	QueueLimit, HeadroomSlots           int
+	Faults                              Faults
 }
 
-// slots of one server.
-func (s *Scenario) slots() int { return s.EnginesPerServer * s.Batch }
+// slots returns the number of slots of one server.
+func (s *Scenario) slots() int { return s.EnginesPerServer * s.MaxBatch }
 
-// A few large organisations among ten.
+// organisationWeights models a few large organisations among ten.
 var organisationWeights = []float64{30, 20, 15, 8, 7, 6, 5, 4, 3, 2}
 
 const (
 	second = time.Second
-	// crash interval of the ordinary day: far more often than any real engine, so
-	// that a run of minutes sees several.
-	crashEvery = 45 * second
-	crashFor   = 15 * second
+	// Crashes are far more frequent than in production, so that each run of a few
+	// minutes includes several.
+	crashInterval = 45 * second
+	crashDuration = 15 * second
 )
 
-// Hanoi is a morning rush at the shops over the ministries' and the night's work:
-// 9 servers of 4 engines; the burst brings 3 times what the engines can do.
+// Hanoi is a morning rush of shop traffic on top of ministry and batch work, on 9
+// servers of 4 engines. The burst is 3 times the engines' capacity.
 func Hanoi() Scenario {
 	return Scenario{
 		Name: "hanoi",
 		Classes: []ClassLoad{
-			{Class: class("counter", 1, .05, 150, 1300*time.Millisecond, 37*time.Millisecond), Deadline: 10 * second, Base: .25, Burst: .55, PromptTokens: 500, OutputTokens: 45, PromptSpread: .5, OutputSpread: .9},
-			{Class: class("home", 2, .04, 150, 3*second, 60*time.Millisecond), Deadline: 20 * second, Base: .15, Burst: 1.2, PromptTokens: 400, OutputTokens: 60, PromptSpread: .5, OutputSpread: .9},
-			{Class: class("ministry", 3, .03, 100, 10*second, 100*time.Millisecond), Deadline: 60 * second, Base: .1, Burst: .55, PromptTokens: 900, OutputTokens: 120, PromptSpread: .6, OutputSpread: 1},
-			{Class: class("reports", 4, .03, 100, 60*second, 0), Deadline: 300 * second, Base: .15, Burst: .7, PromptTokens: 1500, OutputTokens: 250, PromptSpread: .6, OutputSpread: 1},
+			{Class: newClass("counter", 1, .05, 150, 1300*time.Millisecond, 37*time.Millisecond), Deadline: 10 * second, BaseShare: .25, BurstShare: .55, PromptTokensMedian: 500, OutputTokensMedian: 45, PromptTokensSigma: .5, OutputTokensSigma: .9},
+			{Class: newClass("home", 2, .04, 150, 3*second, 60*time.Millisecond), Deadline: 20 * second, BaseShare: .15, BurstShare: 1.2, PromptTokensMedian: 400, OutputTokensMedian: 60, PromptTokensSigma: .5, OutputTokensSigma: .9},
+			{Class: newClass("ministry", 3, .03, 100, 10*second, 100*time.Millisecond), Deadline: 60 * second, BaseShare: .1, BurstShare: .55, PromptTokensMedian: 900, OutputTokensMedian: 120, PromptTokensSigma: .6, OutputTokensSigma: 1},
+			{Class: newClass("reports", 4, .03, 100, 60*second, 0), Deadline: 300 * second, BaseShare: .15, BurstShare: .7, PromptTokensMedian: 1500, OutputTokensMedian: 250, PromptTokensSigma: .6, OutputTokensSigma: 1},
 		},
-		Servers: 9, EnginesPerServer: 4, Batch: 8,
-		StepBase: 5 * time.Millisecond, StepEach: 700 * time.Microsecond, PrefillEach: 10 * time.Microsecond,
+		Servers: 9, EnginesPerServer: 4, MaxBatch: 8,
+		StepBase: 5 * time.Millisecond, StepPerSequence: 700 * time.Microsecond, PrefillPerToken: 10 * time.Microsecond,
 		CachedPrefixes: 24, Prefixes: 12, Weights: organisationWeights,
-		Duration: 240 * second, BurstAt: 60 * second, BurstFor: 60 * second,
-		Queue: 600, Headroom: 6,
-		Faults: Faults{ReportLag: second, CrashEvery: crashEvery, CrashFor: crashFor},
+		Duration: 240 * second, BurstStart: 60 * second, BurstDuration: 60 * second,
+		QueueLimit: 600, HeadroomSlots: 6,
+		Faults: Faults{ReportLag: second, CrashInterval: crashInterval, CrashDuration: crashDuration},
 	}
 }
 
-// Recife is a live sale with a hot lot that draws its questions at once, over
-// summaries and the appraisals of the night: 9 servers, 48 engines in all.
+// Recife is a live auction with a burst of bidders' questions on top of summaries
+// and overnight appraisals, on 9 servers of 5 engines.
 func Recife() Scenario {
 	return Scenario{
 		Name: "recife",
 		Classes: []ClassLoad{
-			{Class: class("bidder", 1, .05, 150, 1300*time.Millisecond, 37*time.Millisecond), Deadline: 8 * second, Base: .1, Burst: .6, PromptTokens: 700, OutputTokens: 50, PromptSpread: .5, OutputSpread: .9},
-			{Class: class("summary", 2, .05, 150, 5*second, 80*time.Millisecond), Deadline: 40 * second, Base: .2, Burst: .8, PromptTokens: 1500, OutputTokens: 150, PromptSpread: .6, OutputSpread: .9},
-			{Class: class("appraisal", 3, .05, 200, 60*second, 0), Deadline: 300 * second, Base: .4, Burst: 1.6, PromptTokens: 2000, OutputTokens: 300, PromptSpread: .6, OutputSpread: 1},
+			{Class: newClass("bidder", 1, .05, 150, 1300*time.Millisecond, 37*time.Millisecond), Deadline: 8 * second, BaseShare: .1, BurstShare: .6, PromptTokensMedian: 700, OutputTokensMedian: 50, PromptTokensSigma: .5, OutputTokensSigma: .9},
+			{Class: newClass("summary", 2, .05, 150, 5*second, 80*time.Millisecond), Deadline: 40 * second, BaseShare: .2, BurstShare: .8, PromptTokensMedian: 1500, OutputTokensMedian: 150, PromptTokensSigma: .6, OutputTokensSigma: .9},
+			{Class: newClass("appraisal", 3, .05, 200, 60*second, 0), Deadline: 300 * second, BaseShare: .4, BurstShare: 1.6, PromptTokensMedian: 2000, OutputTokensMedian: 300, PromptTokensSigma: .6, OutputTokensSigma: 1},
 		},
-		// 48 engines on 9 servers: the model has 5 on each, 45 in all.
-		Servers: 9, EnginesPerServer: 5, Batch: 8,
-		StepBase: 4 * time.Millisecond, StepEach: 600 * time.Microsecond, PrefillEach: 8 * time.Microsecond,
+		// The modelled site has 48 engines; every server here has the same number, 45 in all.
+		Servers: 9, EnginesPerServer: 5, MaxBatch: 8,
+		StepBase: 4 * time.Millisecond, StepPerSequence: 600 * time.Microsecond, PrefillPerToken: 8 * time.Microsecond,
 		CachedPrefixes: 24, Prefixes: 12, Weights: organisationWeights,
-		Duration: 240 * second, BurstAt: 60 * second, BurstFor: 45 * second,
-		Queue: 600, Headroom: 6,
-		Faults: Faults{ReportLag: second, CrashEvery: crashEvery, CrashFor: crashFor},
+		Duration: 240 * second, BurstStart: 60 * second, BurstDuration: 45 * second,
+		QueueLimit: 600, HeadroomSlots: 6,
+		Faults: Faults{ReportLag: second, CrashInterval: crashInterval, CrashDuration: crashDuration},
 	}
 }
 
-func class(name string, tier int, floor float64, places int, first, between time.Duration) scheduler.Class {
-	return scheduler.Class{Name: name, Tier: tier, Floor: floor, FloorPlaces: 8, GuaranteedPlaces: places, FirstTokenTarget: first, InterTokenTarget: between}
+func newClass(name string, tier int, floor float64, guaranteedPlaces int, firstTokenTarget, interTokenTarget time.Duration) scheduler.Class {
+	return scheduler.Class{Name: name, Tier: tier, Floor: floor, FloorPlaces: 8, GuaranteedPlaces: guaranteedPlaces, FirstTokenTarget: firstTokenTarget, InterTokenTarget: interTokenTarget}
 }
 
-// Variant is a scenario with one thing changed.
+// Variant is a modification of a scenario, or of the policy that it runs.
 type Variant struct {
 	Name   string
 	Modify func(*Scenario)
 	// Baseline runs the baseline policy instead of the scheduler.
 	Baseline bool
-	// Ablations switches mechanisms of the scheduler off.
+	// Ablations disables mechanisms of the scheduler.
 	Ablations scheduler.Ablations
 }
 
-// Mechanisms are the scheduler, the baseline, and the scheduler with each
-// mechanism off in turn.
+// Mechanisms returns the scheduler, the baseline, and the scheduler with each
+// mechanism disabled in turn.
 func Mechanisms() []Variant {
 	return []Variant{
 		{Name: "headhill"},
@@ -142,11 +141,11 @@
 	}
 }
 
-// SlowVariants have a third of the servers five times slower, beyond the strictest
-// target between tokens, with the mechanisms meant for that on and off.
+// SlowVariants returns variants in which a third of the servers are five times
+// slower, which exceeds the strictest inter-token target.
 func SlowVariants() []Variant {
 	slow := func(s *Scenario) {
-		s.Faults.Slow, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 5, s.BurstAt/2
+		s.Faults.SlowServers, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 5, s.BurstStart/2
 	}
 	return []Variant{
 		{Name: "slow-5x", Modify: slow},
@@ -155,19 +154,19 @@
 	}
 }
 
-// FaultVariants are the faults of the field, each with the scheduler and with the
-// baseline.
+// FaultVariants returns a variant for each injected fault, with the scheduler and
+// with the baseline.
 func FaultVariants() []Variant {
 	faults := []Variant{
 		{Name: "owner-lost", Modify: func(s *Scenario) {
-			s.Faults.OwnerLostAt, s.Faults.OwnerGap = s.BurstAt+s.BurstFor/2, 350*time.Millisecond
+			s.Faults.OwnerLostAt, s.Faults.OwnerFailoverDelay = s.BurstStart+s.BurstDuration/2, 350*time.Millisecond
 		}},
 		{Name: "reports-5s", Modify: func(s *Scenario) { s.Faults.ReportLag = 5 * second }},
 		{Name: "third-slow", Modify: func(s *Scenario) {
-			s.Faults.Slow, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 3, s.BurstAt/2
+			s.Faults.SlowServers, s.Faults.SlowFactor, s.Faults.SlowAt = s.Servers/3, 3, s.BurstStart/2
 		}},
 		{Name: "third-lost", Modify: func(s *Scenario) {
-			s.Faults.Lost, s.Faults.LostAt = s.Servers/3, s.BurstAt+s.BurstFor/4
+			s.Faults.LostServers, s.Faults.LostAt = s.Servers/3, s.BurstStart+s.BurstDuration/4
 		}},
 	}
 	var list []Variant
--- a/pkg/measure/server.go
+++ b/pkg/measure/server.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// sequence is a call on a server.
+// sequence is a call running or queued on a server.
 type sequence struct {
 	call *call
-	// prefill is the number of prompt tokens still to read.
-	prefill   int
-	read      int
-	generated int
-	startedAt time.Duration
-	firstAt   time.Duration
+	// prefillLeft and prefilled count the prompt tokens still to process and those
+	// processed.
+	prefillLeft  int
+	prefilled    int
+	generated    int
+	startedAt    time.Duration
+	firstTokenAt time.Duration
 }
 
-// server is the model of one backend server: several engines that batch
-// continuously.
+// server models a backend server with several engines that batch continuously.
 type server struct {
-	index   int
-	opts    *Scenario
-	running []*sequence
-	// waiting sequences were sent to a full server; the scheduler sends none.
-	waiting []*sequence
-	down    bool
-	slow    float64
-	// stepping is set while a step is under way; epoch tells a step from before
-	// a crash.
-	stepping bool
-	epoch    int
-	cache    []int
-	// loads are the running counts at past moments, for reports that lag.
-	loads []loadAt
-	// held is the time integral of running sequences, in sequence seconds.
-	held   float64
-	heldAt time.Duration
+	index    int
+	scenario *Scenario
+	running  []*sequence
+	// waiting holds sequences queued until a slot is free.
+	waiting    []*sequence
+	down       bool
+	slowFactor float64
+	// stepping is set while a step is in progress. epoch increases with each crash,
+	// to discard steps started before it.
+	stepping    bool
+	epoch       int
+	prefixCache []int
+	// loadHistory holds past sequence counts, for delayed load reports.
+	loadHistory []loadSample
+	// sequenceSeconds is the integral over time of the number of running sequences.
+	sequenceSeconds float64
+	accountedAt     time.Duration
 }
 
-type loadAt struct {
+type loadSample struct {
 	at      time.Duration
 	running int
 }
 
-func newServer(i int, o *Scenario) *server { return &server{index: i, opts: o, slow: 1} }
+func newServer(i int, sc *Scenario) *server { return &server{index: i, scenario: sc, slowFactor: 1} }
 
-func (s *server) slots() int { return s.opts.slots() }
+func (s *server) slots() int { return s.scenario.slots() }
 
-// account brings the integral up to now.
+// account updates sequenceSeconds to now.
 func (s *server) account(now time.Duration) {
-	s.held += float64(len(s.running)) * (now - s.heldAt).Seconds()
-	s.heldAt = now
+	s.sequenceSeconds += float64(len(s.running)) * (now - s.accountedAt).Seconds()
+	s.accountedAt = now
 }
 
-// add takes a call; more than the batch holds wait their turn.
+// add starts a call, or queues it if all slots are in use.
 func (s *server) add(now time.Duration, c *call) *sequence {
-	q := &sequence{call: c, startedAt: now, prefill: s.uncached(c)}
+	q := &sequence{call: c, startedAt: now, prefillLeft: s.prefillTokens(c)}
 	if len(s.running) >= s.slots() {
 		s.waiting = append(s.waiting, q)
 		return q
@@ -65,79 +65,82 @@
 	return q
 }
 
-// cachedShare is the part of a prompt that a cached prefix spares.
-const cachedShare = 0.8
+// cachedPromptShare is the share of a prompt that a cached prefix covers.
+const cachedPromptShare = 0.8
 
-// uncached is the number of prompt tokens to read, given the prefix cache. A call
-// that goes on after a crash also has to read what was delivered.
-func (s *server) uncached(c *call) int {
+// prefillTokens returns the number of tokens to prefill, given the prefix cache. A
+// call resumed after a crash also prefills the tokens already delivered.
+func (s *server) prefillTokens(c *call) int {
 	n := c.promptTokens
-	if s.hit(c.prefix) {
-		n = int(float64(n) * (1 - cachedShare))
+	if s.lookupPrefix(c.prefix) {
+		n = int(float64(n) * (1 - cachedPromptShare))
 	}
 	return n + c.delivered
 }
 
-func (s *server) hit(prefix int) bool {
-	for i, p := range s.cache {
+func (s *server) lookupPrefix(prefix int) bool {
+	for i, p := range s.prefixCache {
 		if p == prefix {
-			s.cache = append(append(s.cache[:i:i], s.cache[i+1:]...), p)
+			s.prefixCache = append(append(s.prefixCache[:i:i], s.prefixCache[i+1:]...), p)
 			return true
 		}
 	}
-	s.cache = append(s.cache, prefix)
-	if len(s.cache) > s.opts.CachedPrefixes {
-		s.cache = s.cache[1:]
+	s.prefixCache = append(s.prefixCache, prefix)
+	if len(s.prefixCache) > s.scenario.CachedPrefixes {
+		s.prefixCache = s.prefixCache[1:]
 	}
 	return false
 }
 
-// chunkTokens bounds the prompt tokens that an engine reads in one step.
-const chunkTokens = 512
+// prefillChunkTokens is the largest number of prompt tokens of a sequence that one
+// step processes.
+const prefillChunkTokens = 512
 
-// stepTime is the time of the next step: engines share the sequences evenly.
+// stepTime returns the duration of the next step. Sequences are spread evenly over
+// the engines.
 func (s *server) stepTime() time.Duration {
-	engines := float64(s.opts.EnginesPerServer)
-	each := math.Ceil(float64(len(s.running)) / engines)
+	engines := float64(s.scenario.EnginesPerServer)
+	perEngine := math.Ceil(float64(len(s.running)) / engines)
 	prefill := 0
 	for _, q := range s.running {
-		prefill += min(q.prefill, chunkTokens)
+		prefill += min(q.prefillLeft, prefillChunkTokens)
 	}
-	d := float64(s.opts.StepBase) + each*float64(s.opts.StepEach) + float64(prefill)/engines*float64(s.opts.PrefillEach)
-	return time.Duration(d * s.slow)
+	d := float64(s.scenario.StepBase) + perEngine*float64(s.scenario.StepPerSequence) + float64(prefill)/engines*float64(s.scenario.PrefillPerToken)
+	return time.Duration(d * s.slowFactor)
 }
 
-// step ends a step: each sequence reads a chunk of its prompt or gets a token. It
-// returns the sequences that ended.
+// step completes a step, in which each sequence prefills a chunk of its prompt or
+// generates a token. It returns the sequences that ended and the numbers of tokens
+// read and generated.
 func (s *server) step(now time.Duration) (ended []*sequence, read, generated int) {
 	s.account(now)
-	kept := s.running[:0]
+	remaining := s.running[:0]
 	for _, q := range s.running {
-		if q.prefill > 0 {
-			n := min(q.prefill, chunkTokens)
-			q.prefill -= n
-			q.read += n
+		if q.prefillLeft > 0 {
+			n := min(q.prefillLeft, prefillChunkTokens)
+			q.prefillLeft -= n
+			q.prefilled += n
 			read += n
-			if q.prefill > 0 {
-				kept = append(kept, q)
+			if q.prefillLeft > 0 {
+				remaining = append(remaining, q)
 				continue
 			}
 		}
 		generated++
 		q.generated++
-		q.call.token(now)
-		if q.firstAt == 0 {
-			q.firstAt = now
+		q.call.addToken(now)
+		if q.firstTokenAt == 0 {
+			q.firstTokenAt = now
 		}
 		if q.call.delivered >= q.call.outputTokens {
 			ended = append(ended, q)
 			continue
 		}
-		kept = append(kept, q)
+		remaining = append(remaining, q)
 	}
-	s.running = kept
+	s.running = remaining
 	s.admit()
-	s.note(now)
+	s.recordLoad(now)
 	return ended, read, generated
 }
 
@@ -148,49 +151,49 @@
 	}
 }
 
-// remove takes a call off the server, as when its caller left.
+// remove cancels a call on the server.
 func (s *server) remove(now time.Duration, c *call) {
 	s.account(now)
-	s.running = without(s.running, c)
-	s.waiting = without(s.waiting, c)
+	s.running = withoutCall(s.running, c)
+	s.waiting = withoutCall(s.waiting, c)
 	s.admit()
 }
 
-func without(list []*sequence, c *call) []*sequence {
-	kept := list[:0]
+func withoutCall(list []*sequence, c *call) []*sequence {
+	remaining := list[:0]
 	for _, q := range list {
 		if q.call != c {
-			kept = append(kept, q)
+			remaining = append(remaining, q)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// crash loses everything on the server.
+// crash takes the server down and returns the sequences lost.
 func (s *server) crash(now time.Duration) []*sequence {
 	s.account(now)
 	lost := append(append([]*sequence(nil), s.running...), s.waiting...)
-	s.running, s.waiting, s.cache = nil, nil, nil
+	s.running, s.waiting, s.prefixCache = nil, nil, nil
 	s.down = true
 	s.stepping = false
 	s.epoch++
-	s.note(now)
+	s.recordLoad(now)
 	return lost
 }
 
-func (s *server) note(now time.Duration) {
-	s.loads = append(s.loads, loadAt{at: now, running: len(s.running) + len(s.waiting)})
-	if len(s.loads) > 4096 {
-		s.loads = append([]loadAt(nil), s.loads[2048:]...)
+func (s *server) recordLoad(now time.Duration) {
+	s.loadHistory = append(s.loadHistory, loadSample{at: now, running: len(s.running) + len(s.waiting)})
+	if len(s.loadHistory) > 4096 {
+		s.loadHistory = append([]loadSample(nil), s.loadHistory[2048:]...)
 	}
 }
 
-// reported is the load as it was lag ago.
-func (s *server) reported(now, lag time.Duration) int {
+// delayedLoad returns the load at time now-lag.
+func (s *server) delayedLoad(now, lag time.Duration) int {
 	n := 0
-	for i := len(s.loads) - 1; i >= 0; i-- {
-		if s.loads[i].at <= now-lag {
-			return s.loads[i].running
+	for i := len(s.loadHistory) - 1; i >= 0; i-- {
+		if s.loadHistory[i].at <= now-lag {
+			return s.loadHistory[i].running
 		}
 	}
 	return n
