--- a/pkg/load/caller.go
+++ b/pkg/load/caller.go
@@ -14,28 +14,28 @@
 	"headhill.example/headhill/pkg/sse"
 )
 
-// sample is one request's end.
+// sample is the outcome and timing of one request.
 type sample struct {
 	outcome    api.Outcome
 	tokens     int
 	firstToken time.Duration
-	between    time.Duration
+	interToken time.Duration
 	total      time.Duration
 	err        error
 }
 
-// caller sends chat completions.
+// caller sends chat completion requests.
 type caller struct {
 	opts Options
 	http *http.Client
 }
 
-func newCaller(o Options) *caller {
-	return &caller{opts: o, http: &http.Client{Transport: newTransport(o)}}
+func newCaller(opts Options) *caller {
+	return &caller{opts: opts, http: &http.Client{Transport: newTransport(opts)}}
 }
 
-// chat is the body of a request.
-type chat struct {
+// chatRequest is the body of a chat completion request.
+type chatRequest struct {
 	Model     string    `json:"model"`
 	Stream    bool      `json:"stream"`
 	MaxTokens int       `json:"max_tokens,omitempty"`
@@ -47,24 +47,24 @@
 	Content string `json:"content"`
 }
 
-// call sends one request and reads its answer to the end.
-func (c *caller) call(ctx context.Context, target, class string, n int) sample {
-	body, err := json.Marshal(chat{
+// call sends one request and reads the whole response.
+func (c *caller) call(ctx context.Context, baseURL, class string, index int) sample {
+	body, err := json.Marshal(chatRequest{
 		Model:     c.opts.Model,
 		Stream:    true,
 		MaxTokens: c.opts.MaxTokens,
-		Messages:  []message{{Role: "user", Content: fmt.Sprintf("%s request %d of run %d", class, n, c.opts.Seed)}},
+		Messages:  []message{{Role: "user", Content: fmt.Sprintf("%s request %d of run %d", class, index, c.opts.Seed)}},
 	})
 	if err != nil {
 		return sample{err: err}
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target+"/v1/chat/completions", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return sample{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 	req.Header.Set(api.HeaderClass, class)
-	began := time.Now()
+	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return sample{err: err}
@@ -72,13 +72,13 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		return sample{outcome: api.Outcome(resp.Header.Get(api.HeaderOutcome)), total: time.Since(began)}
+		return sample{outcome: api.Outcome(resp.Header.Get(api.HeaderOutcome)), total: time.Since(start)}
 	}
-	return readAnswer(resp.Body, began)
+	return readAnswer(resp.Body, start)
 }
 
-// event is the part of a streamed event that is measured.
-type event struct {
+// chunk holds the fields of a streamed chunk that are measured.
+type chunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -86,9 +86,9 @@
 	} `json:"choices"`
 }
 
-func readAnswer(body io.Reader, began time.Time) sample {
+func readAnswer(body io.Reader, start time.Time) sample {
 	s := sample{outcome: api.OutcomeUnknown}
-	var last time.Time
+	var lastToken time.Time
 	events := sse.NewReader(body)
 	for {
 		data, err := events.Next()
@@ -103,19 +103,19 @@
 			s.outcome = api.OutcomeDone
 			continue
 		}
-		var e event
+		var e chunk
 		if json.Unmarshal(data, &e) != nil || len(e.Choices) == 0 || e.Choices[0].Delta.Content == "" {
 			continue
 		}
-		last = time.Now()
+		lastToken = time.Now()
 		if s.tokens == 0 {
-			s.firstToken = last.Sub(began)
+			s.firstToken = lastToken.Sub(start)
 		}
 		s.tokens++
 	}
-	s.total = time.Since(began)
+	s.total = time.Since(start)
 	if s.tokens > 1 {
-		s.between = (last.Sub(began) - s.firstToken) / time.Duration(s.tokens-1)
+		s.interToken = (lastToken.Sub(start) - s.firstToken) / time.Duration(s.tokens-1)
 	}
 	return s
 }
--- a/pkg/load/load.go
+++ b/pkg/load/load.go
@@ -1,5 +1,5 @@
-// Package load drives boxes with callers of several classes and measures what
-// they get: attainment, goodput and wasted work.
+// Package load generates load on boxes with requests of several classes and
+// measures attainment, goodput and wasted work.
 package load
 
 import (
@@ -17,83 +17,80 @@
 	"headhill.example/headhill/pkg/api"
 )
 
-// Class is one class of callers.
+// Class is one class of requests.
 type Class struct {
 	Name string
-	// Rate is in requests a second, arriving at random.
+	// Rate is the mean number of requests per second; arrivals are Poisson.
 	Rate float64
-	// FirstTokenTarget and InterTokenTarget are the targets to measure against; 0 means none.
+	// FirstTokenTarget and InterTokenTarget are latency targets; 0 means none.
 	FirstTokenTarget, InterTokenTarget time.Duration
 }
 
-// Options shape a run.
+// Options configure a run.
 type Options struct {
-	// Targets are the callers' base URLs; requests take turns.
+	// Targets are the base URLs of the boxes, used in turn.
 	Targets []string
 	Key     string
 	Model   string
 	Classes []Class
-	// Duration bounds the time in which requests begin.
+	// Duration is the time during which requests are sent.
 	Duration time.Duration
-	// BurstStart, BurstDuration and BurstFactor multiply the rates for a while.
+	// From BurstStart, the rates are multiplied by BurstFactor for BurstDuration.
 	BurstStart, BurstDuration time.Duration
 	BurstFactor               float64
-	// MaxTokens bounds the answers; 0 leaves their length to the engine.
+	// MaxTokens limits the length of answers; 0 leaves it to the engine.
 	MaxTokens int
-	// MaxInFlight bounds the requests under way; what would exceed it is not sent
-	// and counted as skipped.
+	// MaxInFlight limits the concurrent requests; requests beyond it are skipped.
 	MaxInFlight int
 	Seed        uint64
-	// Progress is called each second.
+	// Progress, if set, is called every second.
 	Progress func(elapsed time.Duration, sent, ended int)
 }
 
-// InvalidOptionError says which option can't be used.
+// InvalidOptionError reports an unusable option.
 type InvalidOptionError struct{ Option, Remedy string }
 
 func (e *InvalidOptionError) Error() string { return fmt.Sprintf("%s: %s", e.Option, e.Remedy) }
 
-func (o *Options) check() error {
+func (opts *Options) check() error {
 	switch {
-	case len(o.Targets) == 0:
+	case len(opts.Targets) == 0:
 		return &InvalidOptionError{Option: "target", Remedy: "name at least one box"}
-	case len(o.Classes) == 0:
+	case len(opts.Classes) == 0:
 		return &InvalidOptionError{Option: "class", Remedy: "name at least one class"}
-	case o.Duration <= 0:
+	case opts.Duration <= 0:
 		return &InvalidOptionError{Option: "duration", Remedy: "must be positive"}
-	case o.MaxInFlight <= 0:
+	case opts.MaxInFlight <= 0:
 		return &InvalidOptionError{Option: "in-flight", Remedy: "must be positive"}
 	}
 	return nil
 }
 
-// Result is what the callers of one class got.
+// Result holds the results of one class.
 type Result struct {
 	Class string `json:"class"`
 	Sent  int    `json:"sent"`
-	// Skipped requests exceeded the bound of requests under way.
+	// Skipped counts requests not sent because MaxInFlight was reached.
 	Skipped int `json:"skipped"`
 	Done    int `json:"done"`
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Failed requests got no answer at all.
+	// Failed counts requests that ended with a transport error.
 	Failed int `json:"failed"`
-	// Attained answers were whole and within the targets.
+	// Attained counts complete answers within the targets.
 	Attained   int     `json:"attained"`
 	Attainment float64 `json:"attainment"`
-	// Goodput is in attained answers a second.
+	// Goodput is the rate of attained answers per second.
 	Goodput float64 `json:"goodput"`
 	Tokens  int     `json:"tokens"`
-	// WastedTokens were generated for answers that did not complete.
-	WastedTokens int `json:"wasted_tokens"`
-	// Percentiles of the time to the first token, between tokens, and in all, in
-	// milliseconds.
-	FirstToken Percentiles `json:"first_token_ms"`
-	InterToken Percentiles `json:"between_tokens_ms"`
-	Total      Percentiles `json:"total_ms"`
+	// WastedTokens counts the tokens of answers that did not complete.
+	WastedTokens int         `json:"wasted_tokens"`
+	FirstToken   Percentiles `json:"first_token_ms"`
+	InterToken   Percentiles `json:"between_tokens_ms"`
+	Total        Percentiles `json:"total_ms"`
 }
 
-// Percentiles of a histogram, in milliseconds.
+// Percentiles are latency percentiles in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -102,12 +99,13 @@
 }
 
 const (
-	histogramMost   = 10 * 60 * 1000 * 1000 // ten minutes in microseconds
-	histogramDigits = 3
+	// maxHistogramUs is the largest latency that the histograms resolve: ten minutes.
+	maxHistogramUs             = 10 * 60 * 1000 * 1000
+	histogramSignificantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, histogramMost, histogramDigits)
+	return hdrhistogram.New(1, maxHistogramUs, histogramSignificantDigits)
 }
 
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
@@ -115,22 +113,22 @@
 	return Percentiles{P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// account gathers one class's answers.
-type account struct {
-	mu                        sync.Mutex
-	class                     Class
-	result                    Result
-	firstToken, between, full *hdrhistogram.Histogram
+// recorder collects the results of one class.
+type recorder struct {
+	mu                            sync.Mutex
+	class                         Class
+	result                        Result
+	firstToken, interToken, total *hdrhistogram.Histogram
 }
 
-func newAccount(c Class) *account {
-	return &account{class: c, result: Result{Class: c.Name}, firstToken: newHistogram(), between: newHistogram(), full: newHistogram()}
+func newRecorder(c Class) *recorder {
+	return &recorder{class: c, result: Result{Class: c.Name}, firstToken: newHistogram(), interToken: newHistogram(), total: newHistogram()}
 }
 
-func (a *account) add(s sample) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	r := &a.result
+func (rec *recorder) add(s sample) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := &rec.result
 	switch {
 	case s.err != nil:
 		r.Failed++
@@ -146,66 +144,66 @@
 		r.WastedTokens += s.tokens
 		return
 	}
-	record(a.firstToken, s.firstToken)
-	record(a.full, s.total)
-	if s.between > 0 {
-		record(a.between, s.between)
+	record(rec.firstToken, s.firstToken)
+	record(rec.total, s.total)
+	if s.interToken > 0 {
+		record(rec.interToken, s.interToken)
 	}
-	if within(s.firstToken, a.class.FirstTokenTarget) && within(s.between, a.class.InterTokenTarget) {
+	if meets(s.firstToken, rec.class.FirstTokenTarget) && meets(s.interToken, rec.class.InterTokenTarget) {
 		r.Attained++
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Values beyond the histogram's end count as its end.
-	_ = h.RecordValue(min(d.Microseconds(), histogramMost))
+	// Clamped to the range of the histogram.
+	_ = h.RecordValue(min(d.Microseconds(), maxHistogramUs))
 }
 
-func within(d, target time.Duration) bool { return target <= 0 || d <= target }
+func meets(d, target time.Duration) bool { return target <= 0 || d <= target }
 
-func (a *account) finish(elapsed time.Duration) Result {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	r := a.result
+func (rec *recorder) finish(elapsed time.Duration) Result {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := rec.result
 	if r.Sent > 0 {
 		r.Attainment = float64(r.Attained) / float64(r.Sent)
 	}
 	r.Goodput = float64(r.Attained) / elapsed.Seconds()
-	r.FirstToken = percentiles(a.firstToken)
-	r.InterToken = percentiles(a.between)
-	r.Total = percentiles(a.full)
+	r.FirstToken = percentiles(rec.firstToken)
+	r.InterToken = percentiles(rec.interToken)
+	r.Total = percentiles(rec.total)
 	return r
 }
 
-// Run drives the boxes and returns a result for each class, in their order. It
-// returns early when ctx ends.
-func Run(ctx context.Context, o Options) ([]Result, error) {
-	if err := o.check(); err != nil {
+// Run sends the configured load and returns the results by class, in the order of
+// opts.Classes. It stops early when ctx is done.
+func Run(ctx context.Context, opts Options) ([]Result, error) {
+	if err := opts.check(); err != nil {
 		return nil, err
 	}
-	d := &driver{opts: o, began: time.Now(), slots: make(chan struct{}, o.MaxInFlight), caller: newCaller(o)}
-	accounts := make([]*account, len(o.Classes))
+	d := &driver{opts: opts, start: time.Now(), slots: make(chan struct{}, opts.MaxInFlight), caller: newCaller(opts)}
+	recorders := make([]*recorder, len(opts.Classes))
 	var arrivals conc.WaitGroup
-	for i, c := range o.Classes {
-		accounts[i] = newAccount(c)
-		arrivals.Go(func() { d.arrive(ctx, accounts[i], o.Seed+uint64(i)) })
+	for i, c := range opts.Classes {
+		recorders[i] = newRecorder(c)
+		arrivals.Go(func() { d.sendClass(ctx, recorders[i], opts.Seed+uint64(i)) })
 	}
-	stop := d.progress()
+	stop := d.reportProgress()
 	arrivals.Wait()
 	d.requests.Wait()
 	stop()
-	elapsed := time.Since(d.began)
-	results := make([]Result, len(accounts))
-	for i, a := range accounts {
-		results[i] = a.finish(elapsed)
+	elapsed := time.Since(d.start)
+	results := make([]Result, len(recorders))
+	for i, rec := range recorders {
+		results[i] = rec.finish(elapsed)
 	}
 	return results, nil
 }
 
-// driver is one run under way.
+// driver is the state of one run.
 type driver struct {
 	opts     Options
-	began    time.Time
+	start    time.Time
 	slots    chan struct{}
 	caller   *caller
 	requests conc.WaitGroup
@@ -214,24 +212,24 @@
 	sent, ended int
 }
 
-// arrive begins the requests of one class, with exponential gaps.
-func (d *driver) arrive(ctx context.Context, a *account, seed uint64) {
+// sendClass sends the requests of one class, with exponentially distributed gaps.
+func (d *driver) sendClass(ctx context.Context, rec *recorder, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, seed+1))
-	next := d.began
+	next := d.start
 	for n := 0; ; n++ {
-		rate := a.class.Rate * d.factor(time.Since(d.began))
+		rate := rec.class.Rate * d.rateFactor(time.Since(d.start))
 		if rate <= 0 {
 			return
 		}
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		if next.Sub(d.began) > d.opts.Duration || !sleepUntil(ctx, next) {
+		if next.Sub(d.start) > d.opts.Duration || !sleepUntil(ctx, next) {
 			return
 		}
-		d.begin(ctx, a, n)
+		d.send(ctx, rec, n)
 	}
 }
 
-func (d *driver) factor(elapsed time.Duration) float64 {
+func (d *driver) rateFactor(elapsed time.Duration) float64 {
 	if d.opts.BurstFactor > 0 && elapsed >= d.opts.BurstStart && elapsed < d.opts.BurstStart+d.opts.BurstDuration {
 		return d.opts.BurstFactor
 	}
@@ -249,22 +247,22 @@
 	}
 }
 
-func (d *driver) begin(ctx context.Context, a *account, n int) {
-	a.mu.Lock()
-	a.result.Sent++
-	a.mu.Unlock()
+func (d *driver) send(ctx context.Context, rec *recorder, n int) {
+	rec.mu.Lock()
+	rec.result.Sent++
+	rec.mu.Unlock()
 	select {
 	case d.slots <- struct{}{}:
 	default:
-		a.mu.Lock()
-		a.result.Skipped++
-		a.mu.Unlock()
+		rec.mu.Lock()
+		rec.result.Skipped++
+		rec.mu.Unlock()
 		return
 	}
 	d.count(1, 0)
 	target := d.opts.Targets[n%len(d.opts.Targets)]
 	d.requests.Go(func() {
-		a.add(d.caller.call(ctx, target, a.class.Name, n))
+		rec.add(d.caller.call(ctx, target, rec.class.Name, n))
 		<-d.slots
 		d.count(0, 1)
 	})
@@ -277,7 +275,8 @@
 	d.ended += ended
 }
 
-func (d *driver) progress() (stop func()) {
+// reportProgress calls Progress every second until stop is called.
+func (d *driver) reportProgress() (stop func()) {
 	if d.opts.Progress == nil {
 		return func() {}
 	}
@@ -293,14 +292,14 @@
 				d.mu.Lock()
 				sent, ended := d.sent, d.ended
 				d.mu.Unlock()
-				d.opts.Progress(time.Since(d.began), sent, ended)
+				d.opts.Progress(time.Since(d.start), sent, ended)
 			}
 		}
 	}()
 	return func() { close(done) }
 }
 
-// Table formats results for people.
+// Table formats results as a table.
 func Table(results []Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %7s %7s %7s %7s %7s %9s %9s %9s %9s %8s %8s\n", "class", "sent", "done", "not-run", "unknown", "failed", "attained", "goodput/s", "first p95", "betw. p95", "tokens", "wasted")
@@ -310,7 +309,8 @@
 	return b.String()
 }
 
-// newTransport keeps enough connections for the run.
-func newTransport(o Options) *http.Transport {
-	return &http.Transport{MaxIdleConns: o.MaxInFlight, MaxIdleConnsPerHost: o.MaxInFlight}
+// newTransport returns a transport that keeps a connection for each request in
+// flight.
+func newTransport(opts Options) *http.Transport {
+	return &http.Transport{MaxIdleConns: opts.MaxInFlight, MaxIdleConnsPerHost: opts.MaxInFlight}
 }
