--- a/pkg/standin/engine/answer.go
+++ b/pkg/standin/engine/answer.go
@@ -15,13 +15,13 @@
 	"headhill.example/headhill/pkg/sse"
 )
 
-// prompt is the part of a request's body that the stand-in reads.
-type prompt struct {
-	Model     string    `json:"model"`
-	Stream    bool      `json:"stream"`
-	MaxTokens int       `json:"max_tokens"`
-	Messages  []message `json:"messages"`
-	Continue  bool      `json:"continue_final_message"`
+// chatRequest holds the fields of a request body that the stand-in uses.
+type chatRequest struct {
+	Model                string    `json:"model"`
+	Stream               bool      `json:"stream"`
+	MaxTokens            int       `json:"max_tokens"`
+	Messages             []message `json:"messages"`
+	ContinueFinalMessage bool      `json:"continue_final_message"`
 }
 
 type message struct {
@@ -29,26 +29,26 @@
 	Content string `json:"content"`
 }
 
-// Answer returns the whole answer to a prompt of one user message, in tokens.
+// Answer returns the tokens of the full answer to a single user message.
 func Answer(content string, tokens int) []string {
 	list := make([]string, tokens)
 	for i := range list {
-		list[i] = word([]message{{Role: "user", Content: content}}, i)
+		list[i] = answerToken([]message{{Role: "user", Content: content}}, i)
 	}
 	return list
 }
 
-// word is token i of the answer to messages.
-func word(messages []message, i int) string {
+// answerToken returns token i of the answer to messages.
+func answerToken(messages []message, i int) string {
 	last := messages[len(messages)-1].Content
 	if len(last) > 24 {
 		last = last[:24]
 	}
 	last = strings.ReplaceAll(last, " ", "_")
-	return fmt.Sprintf("%s.%x.%d ", last, hash(messages)&0xffff, i)
+	return fmt.Sprintf("%s.%x.%d ", last, hashMessages(messages)&0xffff, i)
 }
 
-func hash(messages []message) uint64 {
+func hashMessages(messages []message) uint64 {
 	h := fnv.New64a()
 	for _, m := range messages {
 		_, _ = io.WriteString(h, m.Role+"\x00"+m.Content+"\x00")
@@ -56,18 +56,20 @@
 	return h.Sum64()
 }
 
-// split takes the partial answer off the prompt and counts its tokens.
-func (p *prompt) split() (messages []message, done int) {
-	if !p.Continue || len(p.Messages) < 2 {
+// splitPartialAnswer returns the messages without a partial answer to continue, and
+// the number of tokens of that partial answer.
+func (p *chatRequest) splitPartialAnswer() (messages []message, partialTokens int) {
+	if !p.ContinueFinalMessage || len(p.Messages) < 2 {
 		return p.Messages, 0
 	}
 	last := len(p.Messages) - 1
 	return p.Messages[:last], strings.Count(p.Messages[last].Content, " ")
 }
 
-// longTail is a length between 4 and about 400 that follows from the prompt.
-func longTail(messages []message) int {
-	h := hash(messages) % 1000
+// longTailLength derives an answer length from the prompt, with a long-tailed
+// distribution.
+func longTailLength(messages []message) int {
+	h := hashMessages(messages) % 1000
 	switch {
 	case h < 600:
 		return 4 + int(h%24)
@@ -77,89 +79,89 @@
 	return 120 + int(h%280)
 }
 
-func (e *Engine) length(p *prompt, messages []message, done int) int {
+func (e *Engine) answerLength(p *chatRequest, messages []message, partialTokens int) int {
 	n := e.opts.AnswerTokens
 	if n == 0 {
-		n = longTail(messages)
+		n = longTailLength(messages)
 	}
-	// A bound given with a partial answer counts from there.
-	n -= done
+	// max_tokens does not include the tokens of a partial answer.
+	n -= partialTokens
 	if p.MaxTokens > 0 {
 		n = min(n, p.MaxTokens)
 	}
 	return max(0, n)
 }
 
-const bodyMost = 64 << 20
+const maxBodyBytes = 64 << 20
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var p prompt
-	if err := json.NewDecoder(io.LimitReader(r.Body, bodyMost)).Decode(&p); err != nil || len(p.Messages) == 0 {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	var p chatRequest
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&p); err != nil || len(p.Messages) == 0 {
 		http.Error(w, "bad request", http.StatusBadRequest)
 		return
 	}
-	messages, done := p.split()
-	f, s := e.begin(r, &p, messages, done)
+	messages, partialTokens := p.splitPartialAnswer()
+	faults, s := e.startSequence(r, &p, messages, partialTokens)
 	if s == nil {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 		return
 	}
 	id := "chatcmpl-" + r.Header.Get(backend.HeaderRequestID)
-	if f.WrongID {
+	if faults.WrongID {
 		id = "chatcmpl-somebody-else"
 	}
-	out := &limitedWriter{w: w, left: f.CrashAfterBytes}
+	out := &crashingWriter{w: w, bytesLeft: faults.CrashAfterBytes}
 	if p.Stream {
-		stream(r.Context(), out, id, messages, done, s)
+		writeStream(r.Context(), out, id, messages, partialTokens, s)
 		return
 	}
-	whole(r.Context(), out, id, messages, done, s)
+	writeCompletion(r.Context(), out, id, messages, partialTokens, s)
 }
 
-// begin queues a sequence, or returns nil if the engine refuses.
-func (e *Engine) begin(r *http.Request, p *prompt, messages []message, done int) (Faults, *sequence) {
+// startSequence queues a sequence, or returns nil if the engine refuses it.
+func (e *Engine) startSequence(r *http.Request, p *chatRequest, messages []message, partialTokens int) (Faults, *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Refuse {
 		return e.faults, nil
 	}
-	size := 0
+	promptTokens := 0
 	for _, m := range p.Messages {
-		size += len(m.Content)/4 + 1
+		promptTokens += len(m.Content)/4 + 1
 	}
-	if e.cached(hash(messages[:1])) {
-		size = max(1, size-len(messages[0].Content)/4)
+	if e.lookupPrefix(hashMessages(messages[:1])) {
+		promptTokens = max(1, promptTokens-len(messages[0].Content)/4)
 	}
-	n := e.length(p, messages, done)
-	s := &sequence{ctx: r.Context(), prefill: size, length: n, tokens: make(chan struct{}, n)}
+	n := e.answerLength(p, messages, partialTokens)
+	s := &sequence{ctx: r.Context(), prefillTokens: promptTokens, answerTokens: n, tokens: make(chan struct{}, n)}
 	if n == 0 {
-		// The partial answer was whole already.
+		// The partial answer is already complete.
 		close(s.tokens)
 	} else {
 		e.waiting = append(e.waiting, s)
 	}
 	e.stats.Started++
-	e.runs[r.Header.Get(backend.HeaderRequestID)]++
+	e.runsByID[r.Header.Get(backend.HeaderRequestID)]++
 	return e.faults, s
 }
 
-// cached tells whether a prefix is cached, and caches it.
-func (e *Engine) cached(h uint64) bool {
-	for _, c := range e.cache {
+// lookupPrefix reports whether a prefix is cached, and adds it if not.
+func (e *Engine) lookupPrefix(h uint64) bool {
+	for _, c := range e.prefixCache {
 		if c == h {
 			return true
 		}
 	}
-	e.cache = append(e.cache, h)
-	if len(e.cache) > e.opts.CachedPrefixes {
-		e.cache = e.cache[1:]
+	e.prefixCache = append(e.prefixCache, h)
+	if len(e.prefixCache) > e.opts.CachedPrefixes {
+		e.prefixCache = e.prefixCache[1:]
 	}
 	return false
 }
 
-// event is one streamed chunk.
-type event struct {
+// chunk is one chunk of a streamed answer.
+type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Choices []choice `json:"choices"`
@@ -176,35 +178,35 @@
 	Content string `json:"content,omitempty"`
 }
 
-func stream(ctx context.Context, w *limitedWriter, id string, messages []message, done int, s *sequence) {
+func writeStream(ctx context.Context, w *crashingWriter, id string, messages []message, partialTokens int, s *sequence) {
 	w.w.Header().Set("Content-Type", "text/event-stream")
 	w.w.Header().Set(backend.HeaderRequestID, strings.TrimPrefix(id, "chatcmpl-"))
-	send(w, id, delta{Role: "assistant"}, nil)
-	for i := done; ; i++ {
+	writeChunk(w, id, delta{Role: "assistant"}, nil)
+	for i := partialTokens; ; i++ {
 		select {
 		case <-ctx.Done():
 			return
 		case _, ok := <-s.tokens:
 			if !ok {
 				stop := "stop"
-				send(w, id, delta{}, &stop)
+				writeChunk(w, id, delta{}, &stop)
 				_ = sse.Write(w, []byte("[DONE]"))
 				return
 			}
-			send(w, id, delta{Content: word(messages, i)}, nil)
+			writeChunk(w, id, delta{Content: answerToken(messages, i)}, nil)
 		}
 	}
 }
 
-func send(w *limitedWriter, id string, d delta, finish *string) {
-	e := event{ID: id, Object: "chat.completion.chunk", Choices: []choice{{Delta: d, FinishReason: finish}}}
-	// A plain struct always encodes.
+func writeChunk(w *crashingWriter, id string, d delta, finish *string) {
+	e := chunk{ID: id, Object: "chat.completion.chunk", Choices: []choice{{Delta: d, FinishReason: finish}}}
+	// Marshalling this struct can't fail.
 	b, _ := json.Marshal(e)
 	_ = sse.Write(w, b)
 	_ = http.NewResponseController(w.w).Flush()
 }
 
-func whole(ctx context.Context, w *limitedWriter, id string, messages []message, done int, s *sequence) {
+func writeCompletion(ctx context.Context, w *crashingWriter, id string, messages []message, partialTokens int, s *sequence) {
 	var text strings.Builder
 	n := 0
 	for {
@@ -213,7 +215,7 @@
 			return
 		case _, ok := <-s.tokens:
 			if ok {
-				text.WriteString(word(messages, done+n))
+				text.WriteString(answerToken(messages, partialTokens+n))
 				n++
 				continue
 			}
@@ -229,22 +231,22 @@
 	})
 }
 
-// limitedWriter breaks the connection off after a number of bytes, if left was
-// not 0 at first.
-type limitedWriter struct {
-	w    http.ResponseWriter
-	left int
+// crashingWriter aborts the connection after bytesLeft bytes; an initial value of 0
+// means no limit.
+type crashingWriter struct {
+	w         http.ResponseWriter
+	bytesLeft int
 }
 
-func (l *limitedWriter) Write(p []byte) (int, error) {
-	if l.left == 0 {
+func (l *crashingWriter) Write(p []byte) (int, error) {
+	if l.bytesLeft == 0 {
 		return l.w.Write(p)
 	}
-	if len(p) < l.left {
-		l.left -= len(p)
+	if len(p) < l.bytesLeft {
+		l.bytesLeft -= len(p)
 		return l.w.Write(p)
 	}
-	_, _ = l.w.Write(p[:l.left])
+	_, _ = l.w.Write(p[:l.bytesLeft])
 	_ = http.NewResponseController(l.w).Flush()
 	panic(http.ErrAbortHandler)
 }
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine is a small stand-in for a model engine: chat completions with
-// server-sent events, continuous batching with steps that grow with the batch, a
-// limited prefix cache, a load report that lags, and faults.
+// Package engine is a stand-in for a model engine: chat completions with
+// server-sent events, continuous batching with batch-dependent step times, a bounded
+// prefix cache, a delayed load report, and fault injection.
 //
-// Its answers follow from the prompt alone, so that a test can tell what the
-// whole answer is, and any engine can go on where another broke off.
+// Answers depend on the prompt alone, so that a test can compute the full answer and
+// any engine can continue an answer that another one started.
 package engine
 
 import (
@@ -18,24 +18,24 @@
 	"headhill.example/headhill/pkg/backend"
 )
 
-// Options shape an engine.
+// Options configure an engine.
 type Options struct {
-	// MaxBatch is the most sequences in one step; more wait.
+	// MaxBatch is the largest number of sequences in a step; others are queued.
 	MaxBatch int
-	// StepBase and StepPerSequence are the time of a step and what each sequence adds.
+	// The time of a step is StepBase, plus StepPerSequence for each sequence.
 	StepBase, StepPerSequence time.Duration
-	// PrefillPerToken is the time that each token of an uncached prompt adds.
+	// PrefillPerToken is the time added for each uncached prompt token.
 	PrefillPerToken time.Duration
-	// CachedPrefixes is the number of prompts whose prefix stays cached.
+	// CachedPrefixes is the capacity of the prefix cache.
 	CachedPrefixes int
 	// LoadLag delays the load report.
 	LoadLag time.Duration
-	// AnswerTokens is the length of answers without a bound; 0 derives it from the
-	// prompt, with a long tail.
+	// AnswerTokens is the length of answers not limited by max_tokens; 0 derives it
+	// from the prompt, with a long-tailed distribution.
 	AnswerTokens int
 }
 
-// DefaultOptions returns an engine of a few milliseconds a step.
+// DefaultOptions returns options for steps of a few milliseconds.
 func DefaultOptions() Options {
 	return Options{
 		MaxBatch:        16,
@@ -47,23 +47,24 @@
 	}
 }
 
-// Faults are the ways in which the stand-in can fail.
+// Faults are the faults that the stand-in can inject.
 type Faults struct {
-	// SlowFactor multiplies the time of steps; 0 counts as 1.
+	// SlowFactor multiplies the time of steps; 0 means 1.
 	SlowFactor float64 `json:"slow"`
-	// CrashAfterBytes breaks each stream off after so many bytes; 0 never.
+	// CrashAfterBytes aborts each answer after this number of bytes; 0 means never.
 	CrashAfterBytes int `json:"crash_after_bytes"`
 	// Freeze stops all steps.
 	Freeze bool `json:"freeze"`
-	// Refuse answers 503 before any generation.
+	// Refuse answers requests with 503 without running them.
 	Refuse bool `json:"refuse"`
-	// Leaving is reported with the load.
+	// Leaving is set in load reports.
 	Leaving bool `json:"leaving"`
-	// WrongID names answers by another request.
+	// WrongID gives answers the ID of another request.
 	WrongID bool `json:"wrong_id"`
 }
 
-// Stats count what the engine did.
+// Stats counts requests and tokens. Running is the current number of requests,
+// including queued ones.
 type Stats struct {
 	Started   int `json:"started"`
 	Finished  int `json:"finished"`
@@ -73,48 +74,48 @@
 	Running   int `json:"running"`
 }
 
-// Engine is the stand-in. It steps until Close.
+// Engine is the stand-in. It generates tokens until Close is called.
 type Engine struct {
-	opts   Options
-	router *httprouter.Router
-	stop   chan struct{}
-	once   sync.Once
-
-	mu      sync.Mutex
-	faults  Faults
-	running []*sequence
-	waiting []*sequence
-	cache   []uint64
-	stats   Stats
-	loads   []load
-	runs    map[string]int
-}
-
-// load is the number of running sequences at a time.
-type load struct {
+	opts      Options
+	router    *httprouter.Router
+	stop      chan struct{}
+	closeOnce sync.Once
+
+	mu          sync.Mutex
+	faults      Faults
+	running     []*sequence
+	waiting     []*sequence
+	prefixCache []uint64
+	stats       Stats
+	loadHistory []loadSample
+	runsByID    map[string]int
+}
+
+// loadSample is the number of running and queued sequences at a time.
+type loadSample struct {
 	at      time.Time
 	running int
 }
 
-// sequence is one request being generated.
+// sequence is a queued or running request.
 type sequence struct {
-	ctx       context.Context
-	prefill   int
-	tokens    chan struct{}
-	generated int
-	length    int
+	ctx           context.Context
+	prefillTokens int
+	tokens        chan struct{}
+	generated     int
+	answerTokens  int
 }
 
-// New returns an engine that runs.
-func New(o Options) *Engine {
-	e := &Engine{opts: o, stop: make(chan struct{}), runs: make(map[string]int)}
+// New returns a running engine.
+func New(opts Options) *Engine {
+	e := &Engine{opts: opts, stop: make(chan struct{}), runsByID: make(map[string]int)}
 	r := httprouter.New()
-	r.POST("/v1/chat/completions", e.complete)
-	r.GET(backend.LoadPath, e.load)
+	r.POST("/v1/chat/completions", e.serveCompletion)
+	r.GET(backend.LoadPath, e.serveLoad)
 	r.GET("/stats", e.serveStats)
 	r.PUT("/faults", e.putFaults)
 	e.router = r
-	go e.steps()
+	go e.runSteps()
 	return e
 }
 
@@ -122,16 +123,16 @@
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
 // Close stops the engine.
-func (e *Engine) Close() { e.once.Do(func() { close(e.stop) }) }
+func (e *Engine) Close() { e.closeOnce.Do(func() { close(e.stop) }) }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,15 +141,16 @@
 	return s
 }
 
-// Runs returns how many times a request, by its ID, was started.
+// Runs returns how often the request with the given ID was started.
 func (e *Engine) Runs(requestID string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.runs[requestID]
+	return e.runsByID[requestID]
 }
 
-// steps generates one token for each running sequence at a time.
-func (e *Engine) steps() {
+// runSteps runs steps until the engine is closed. Each step generates one token for
+// every running sequence.
+func (e *Engine) runSteps() {
 	for {
 		select {
 		case <-e.stop:
@@ -159,20 +161,21 @@
 	}
 }
 
-const idleStep = time.Millisecond
+// idleStepTime is the polling interval of an engine without requests.
+const idleStepTime = time.Millisecond
 
 func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.running)+len(e.waiting) == 0 {
-		return idleStep
+		return idleStepTime
 	}
 	e.admit()
 	d := e.opts.StepBase + time.Duration(len(e.running))*e.opts.StepPerSequence
 	for _, s := range e.running {
-		d += time.Duration(s.prefill) * e.opts.PrefillPerToken
-		e.stats.Prefilled += s.prefill
-		s.prefill = 0
+		d += time.Duration(s.prefillTokens) * e.opts.PrefillPerToken
+		e.stats.Prefilled += s.prefillTokens
+		s.prefillTokens = 0
 	}
 	if e.faults.SlowFactor > 0 {
 		d = time.Duration(float64(d) * e.faults.SlowFactor)
@@ -193,7 +196,7 @@
 	if e.faults.Freeze {
 		return
 	}
-	kept := e.running[:0]
+	remaining := e.running[:0]
 	for _, s := range e.running {
 		if s.ctx.Err() != nil {
 			e.stats.Cancelled++
@@ -202,30 +205,31 @@
 		s.generated++
 		e.stats.Generated++
 		s.tokens <- struct{}{}
-		if s.generated < s.length {
-			kept = append(kept, s)
+		if s.generated < s.answerTokens {
+			remaining = append(remaining, s)
 			continue
 		}
 		e.stats.Finished++
 		close(s.tokens)
 	}
-	e.running = kept
-	e.loads = append(e.loads, load{at: time.Now(), running: len(e.running) + len(e.waiting)})
-	if len(e.loads) > loadsKept {
-		e.loads = append([]load(nil), e.loads[len(e.loads)/2:]...)
+	e.running = remaining
+	e.loadHistory = append(e.loadHistory, loadSample{at: time.Now(), running: len(e.running) + len(e.waiting)})
+	if len(e.loadHistory) > maxLoadSamples {
+		e.loadHistory = append([]loadSample(nil), e.loadHistory[len(e.loadHistory)/2:]...)
 	}
 }
 
-const loadsKept = 8192
+// maxLoadSamples is the size at which the older half of loadHistory is dropped.
+const maxLoadSamples = 8192
 
-// load reports the load as it was LoadLag ago.
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+// serveLoad reports the load as of LoadLag ago.
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	e.mu.Lock()
 	l := backend.Load{Leaving: e.faults.Leaving}
-	limit := time.Now().Add(-e.opts.LoadLag)
-	for i := len(e.loads) - 1; i >= 0; i-- {
-		if !e.loads[i].at.After(limit) {
-			l.Running = e.loads[i].running
+	cutoff := time.Now().Add(-e.opts.LoadLag)
+	for i := len(e.loadHistory) - 1; i >= 0; i-- {
+		if !e.loadHistory[i].at.After(cutoff) {
+			l.Running = e.loadHistory[i].running
 			break
 		}
 	}
