--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service. It records every run
-// by its key, so that tests can count them.
+// Package service is a stand-in for a plain service. It counts the runs of each key
+// for tests to check.
 package service
 
 import (
@@ -16,54 +16,54 @@
 	"headhill.example/headhill/pkg/backend"
 )
 
-// Faults are the ways in which the stand-in can fail.
+// Faults are the faults that the stand-in can inject.
 type Faults struct {
-	// Delay is the time that a run takes.
+	// Delay is the duration of a run.
 	Delay time.Duration `json:"delay_ns"`
-	// DropResponse breaks the connection after the run, ResetBeforeRun before it.
+	// DropResponse closes the connection after the run, ResetBeforeRun before it.
 	DropResponse   bool `json:"lose_answer"`
 	ResetBeforeRun bool `json:"reset_before"`
-	// Hang runs the call and never answers.
+	// Hang runs the call and never responds.
 	Hang bool `json:"hang"`
-	// Status is answered after the run instead of 200; 429 is answered instead
-	// of it.
+	// Status is the response status after the run, 200 if 0. With 429 the call is
+	// rejected without a run.
 	Status int `json:"status"`
-	// Leaving is reported with the load.
+	// Leaving is set in load reports.
 	Leaving bool `json:"leaving"`
 }
 
 // Service is the stand-in.
 type Service struct {
-	// fences says that the service checks who orders it.
-	fences bool
-
-	mu      sync.Mutex
-	faults  Faults
-	runs    map[string]int
-	fence   map[string]uint64
-	running int
+	// checkFences makes the service reject calls by their fence.
+	checkFences bool
+
+	mu        sync.Mutex
+	faults    Faults
+	runs      map[string]int
+	lastFence map[string]uint64 // highest fence number by key
+	running   int
 }
 
-// New returns a service; fences says whether it checks fences.
-func New(fences bool) *Service {
-	return &Service{fences: fences, runs: make(map[string]int), fence: make(map[string]uint64)}
+// New returns a service, which rejects calls by their fence if checkFences is set.
+func New(checkFences bool) *Service {
+	return &Service{checkFences: checkFences, runs: make(map[string]int), lastFence: make(map[string]uint64)}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns how often the call of a key ran.
+// Runs returns how often the call with the given key ran.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// AllRuns returns a copy of the counts of all keys.
+// AllRuns returns the run counts by key.
 func (s *Service) AllRuns() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,9 +74,9 @@
 	return m
 }
 
-// key is what a call is recorded by: its idempotency key, its X-Call header, or
-// the request's ID.
-func key(r *http.Request) string {
+// callKey returns the key under which a call is counted: its idempotency key, its
+// X-Call header, or its request ID.
+func callKey(r *http.Request) string {
 	for _, h := range []string{api.HeaderIdempotencyKey, "X-Call", backend.HeaderRequestID} {
 		if v := r.Header.Get(h); v != "" {
 			return v
@@ -89,17 +89,17 @@
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case backend.LoadPath:
-		s.load(w)
+		s.serveLoad(w)
 	case "/faults":
 		s.putFaults(w, r)
 	case "/runs":
 		_ = json.NewEncoder(w).Encode(s.AllRuns())
 	default:
-		s.call(w, r)
+		s.serveCall(w, r)
 	}
 }
 
-func (s *Service) load(w http.ResponseWriter) {
+func (s *Service) serveLoad(w http.ResponseWriter) {
 	s.mu.Lock()
 	l := backend.Load{Running: s.running, Leaving: s.faults.Leaving}
 	s.mu.Unlock()
@@ -115,10 +115,10 @@
 	s.SetFaults(f)
 }
 
-const bodyMost = 64 << 20
+const maxBodyBytes = 64 << 20
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyMost))
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
@@ -132,11 +132,11 @@
 		http.Error(w, "not started", f.Status)
 		return
 	}
-	if !s.run(r) {
+	if !s.startRun(r) {
 		http.Error(w, "fenced", http.StatusPreconditionFailed)
 		return
 	}
-	defer s.end()
+	defer s.endRun()
 	time.Sleep(f.Delay)
 	if f.Hang {
 		<-r.Context().Done()
@@ -151,26 +151,26 @@
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
 }
 
-// run records a run, or refuses what a fence forbids: a key that ran before, and
-// an order older than one seen for the key.
-func (s *Service) run(r *http.Request) bool {
-	k := key(r)
+// startRun counts a run. It returns false for a fenced call whose key has already run
+// or whose fence is older than the last one seen for the key.
+func (s *Service) startRun(r *http.Request) bool {
+	k := callKey(r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := r.Header.Get(backend.HeaderFence); s.fences && f != "" {
+	if f := r.Header.Get(backend.HeaderFence); s.checkFences && f != "" {
 		_, number, _ := strings.Cut(f, "/")
 		n, err := strconv.ParseUint(number, 10, 64)
-		if err != nil || s.runs[k] > 0 || n < s.fence[k] {
+		if err != nil || s.runs[k] > 0 || n < s.lastFence[k] {
 			return false
 		}
-		s.fence[k] = n
+		s.lastFence[k] = n
 	}
 	s.runs[k]++
 	s.running++
 	return true
 }
 
-func (s *Service) end() {
+func (s *Service) endRun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
