--- a/pkg/standin/objectstore/server.go
+++ b/pkg/standin/objectstore/server.go
@@ -1,6 +1,6 @@
-// Package objectstore is a small stand-in for the platform: an object API with
-// versions, conditional writes and watches, and a box list that lags. Its faults
-// can be switched from a test or over HTTP.
+// Package objectstore is a stand-in for the platform: an object API with versions,
+// conditional writes and watches, and a box list that can lag. Faults are injected
+// from a test or over HTTP.
 package objectstore
 
 import (
@@ -20,65 +20,65 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// Faults are the ways in which the stand-in can fail.
+// Faults are the faults that the stand-in can inject.
 type Faults struct {
-	// Down refuses every call.
+	// Down fails every call with 503.
 	Down bool `json:"down"`
-	// Delay slows every call.
+	// Delay is added to every call.
 	Delay time.Duration `json:"delay_ns"`
-	// DropWriteResponses is the number of coming writes that take effect and whose
-	// answer is lost.
+	// DropWriteResponses is the number of upcoming writes that take effect but whose
+	// response is dropped.
 	DropWriteResponses int `json:"lose_writes"`
-	// Stale makes reads answer with the state as it was when Stale was set.
+	// Stale makes reads return the state as of when Stale was set.
 	Stale bool `json:"stale"`
-	// BoxListLag delays changes of the box list.
+	// BoxListLag delays the visibility of box list changes.
 	BoxListLag time.Duration `json:"box_lag_ns"`
 }
 
-type stored struct {
+type object struct {
 	value   []byte
 	version objectstore.Version
 }
 
-// Server is the stand-in. Its zero value is not usable: call New.
+// Server is the stand-in. Use New to create one.
 type Server struct {
-	mu      sync.Mutex
-	objects map[string]stored
-	frozen  map[string]stored
-	version objectstore.Version
-	changed chan struct{}
-	boxes   map[string]objectstore.Box
-	shown   []boxView
-	faults  Faults
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-
-	calls  callrate.Calls
-	denied int
-	router *httprouter.Router
+	mu           sync.Mutex
+	objects      map[string]object
+	staleObjects map[string]object
+	version      objectstore.Version
+	changed      chan struct{}
+	boxes        map[string]objectstore.Box
+	boxLists     []boxList
+	faults       Faults
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
+
+	calls       callrate.Calls
+	rateLimited int
+	router      *httprouter.Router
 }
 
-// boxView is the box list from a moment on.
-type boxView struct {
+// boxList is a version of the box list, valid from at.
+type boxList struct {
 	at    time.Time
 	boxes []objectstore.Box
 }
 
-// New returns a stand-in that takes the platform's usual rates.
+// New returns a stand-in with the platform's default rate limits.
 func New() *Server {
 	s := &Server{
-		objects: make(map[string]stored),
-		changed: make(chan struct{}),
-		boxes:   make(map[string]objectstore.Box),
-		reads:   rate.NewLimiter(rate.Limit(callrate.DefaultBudget.ReadsPerSecond), int(callrate.DefaultBudget.ReadsPerSecond)),
-		writes:  rate.NewLimiter(rate.Limit(callrate.DefaultBudget.WritesPerSecond), int(callrate.DefaultBudget.WritesPerSecond)),
+		objects:      make(map[string]object),
+		changed:      make(chan struct{}),
+		boxes:        make(map[string]objectstore.Box),
+		readLimiter:  rate.NewLimiter(rate.Limit(callrate.DefaultBudget.ReadsPerSecond), int(callrate.DefaultBudget.ReadsPerSecond)),
+		writeLimiter: rate.NewLimiter(rate.Limit(callrate.DefaultBudget.WritesPerSecond), int(callrate.DefaultBudget.WritesPerSecond)),
 	}
 	r := httprouter.New()
-	r.GET("/v1/objects", s.guard(s.reads, s.list))
-	r.GET("/v1/objects/*key", s.guard(s.reads, s.get))
-	r.PUT("/v1/objects/*key", s.guard(s.writes, s.put))
-	r.DELETE("/v1/objects/*key", s.guard(s.writes, s.remove))
-	r.GET("/v1/boxes", s.guard(s.reads, s.listBoxes))
+	r.GET("/v1/objects", s.withFaults(s.readLimiter, s.listObjects))
+	r.GET("/v1/objects/*key", s.withFaults(s.readLimiter, s.getObject))
+	r.PUT("/v1/objects/*key", s.withFaults(s.writeLimiter, s.putObject))
+	r.DELETE("/v1/objects/*key", s.withFaults(s.writeLimiter, s.deleteObject))
+	r.GET("/v1/boxes", s.withFaults(s.readLimiter, s.listBoxes))
 	r.PUT("/v1/boxes/:id", s.putBox)
 	r.PUT("/faults", s.putFaults)
 	s.router = r
@@ -88,28 +88,28 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Stale && !s.faults.Stale {
-		s.frozen = cloneObjects(s.objects)
+		s.staleObjects = cloneObjects(s.objects)
 	}
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// Restore throws every change after the given snapshot away, as when a backup is
-// put back.
+// Restore discards all changes made since the snapshot, like a restored backup. The
+// version counter is not reset.
 func (s *Server) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects = cloneObjects(snapshot.objects)
-	s.wake()
+	s.notifyWatches()
 }
 
 // Snapshot is a copy of all objects.
-type Snapshot struct{ objects map[string]stored }
+type Snapshot struct{ objects map[string]object }
 
 // Snapshot copies the objects.
 func (s *Server) Snapshot() Snapshot {
@@ -118,22 +118,23 @@
 	return Snapshot{objects: cloneObjects(s.objects)}
 }
 
-func cloneObjects(m map[string]stored) map[string]stored {
-	c := make(map[string]stored, len(m))
+func cloneObjects(m map[string]object) map[string]object {
+	c := make(map[string]object, len(m))
 	for k, v := range m {
 		c[k] = v
 	}
 	return c
 }
 
-// Calls returns the number of calls taken and the number denied by the rates.
-func (s *Server) Calls() (taken callrate.Calls, denied int) {
+// Calls returns the number of calls received and the number rejected by the rate
+// limits.
+func (s *Server) Calls() (received callrate.Calls, rateLimited int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls, s.denied
+	return s.calls, s.rateLimited
 }
 
-// SetBox adds or changes a box of the box list.
+// SetBox adds or replaces a box in the box list.
 func (s *Server) SetBox(b objectstore.Box) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 	s.publishBoxes()
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the box list.
 func (s *Server) RemoveBox(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,16 +156,17 @@
 		list = append(list, b)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	s.shown = append(s.shown, boxView{at: time.Now(), boxes: list})
+	s.boxLists = append(s.boxLists, boxList{at: time.Now(), boxes: list})
 }
 
-func (s *Server) wake() {
+// notifyWatches wakes all pending watches. The caller holds s.mu.
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// guard applies faults and rates before a call.
-func (s *Server) guard(l *rate.Limiter, h httprouter.Handle) httprouter.Handle {
+// withFaults wraps a handler with call counting, fault injection and a rate limit.
+func (s *Server) withFaults(limiter *rate.Limiter, h httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		s.mu.Lock()
 		f := s.faults
@@ -179,9 +181,9 @@
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		if !l.Allow() {
+		if !limiter.Allow() {
 			s.mu.Lock()
-			s.denied++
+			s.rateLimited++
 			s.mu.Unlock()
 			http.Error(w, "rate limit", http.StatusTooManyRequests)
 			return
@@ -190,39 +192,40 @@
 	}
 }
 
-func key(p httprouter.Params) string { return strings.TrimPrefix(p.ByName("key"), "/") }
+func keyOf(p httprouter.Params) string { return strings.TrimPrefix(p.ByName("key"), "/") }
 
-// visible returns the objects that reads see.
-func (s *Server) visible() map[string]stored {
+// visibleObjects returns the objects that reads see, which are old ones under the
+// Stale fault.
+func (s *Server) visibleObjects() map[string]object {
 	if s.faults.Stale {
-		return s.frozen
+		return s.staleObjects
 	}
 	return s.objects
 }
 
-func (s *Server) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s *Server) getObject(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	q := r.URL.Query()
 	if q.Get("watch") == "" {
 		s.mu.Lock()
-		o, ok := s.visible()[key(p)]
+		o, ok := s.visibleObjects()[keyOf(p)]
 		s.mu.Unlock()
 		writeObject(w, o, ok)
 		return
 	}
-	s.watch(w, r, key(p))
+	s.watchObject(w, r, keyOf(p))
 }
 
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, key string) {
+func (s *Server) watchObject(w http.ResponseWriter, r *http.Request, key string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, err := time.ParseDuration(r.URL.Query().Get("timeout"))
+	timeout, err := time.ParseDuration(r.URL.Query().Get("timeout"))
 	if err != nil {
-		wait = 30 * time.Second
+		timeout = 30 * time.Second
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		o, ok := s.visible()[key]
+		o, ok := s.visibleObjects()[key]
 		down := s.faults.Down
 		changed := s.changed
 		s.mu.Unlock()
@@ -245,7 +248,7 @@
 	}
 }
 
-func writeObject(w http.ResponseWriter, o stored, ok bool) {
+func writeObject(w http.ResponseWriter, o object, ok bool) {
 	if !ok {
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
@@ -258,11 +261,11 @@
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(uint64(v), 10)))
 }
 
-func (s *Server) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s *Server) listObjects(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	prefix := r.URL.Query().Get("prefix")
 	s.mu.Lock()
 	entries := []objectstore.Entry{}
-	for k, o := range s.visible() {
+	for k, o := range s.visibleObjects() {
 		if strings.HasPrefix(k, prefix) {
 			entries = append(entries, objectstore.Entry{Key: k, Version: o.version})
 		}
@@ -272,8 +275,8 @@
 	_ = json.NewEncoder(w).Encode(entries)
 }
 
-// met tells whether a write's condition holds.
-func met(r *http.Request, o stored, exists bool) bool {
+// conditionHolds reports whether the precondition of a write holds.
+func conditionHolds(r *http.Request, o object, exists bool) bool {
 	if r.Header.Get("If-None-Match") == "*" {
 		return !exists
 	}
@@ -282,25 +285,25 @@
 	return err == nil && exists && o.version == objectstore.Version(v)
 }
 
-func (s *Server) put(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s *Server) putObject(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, objectstore.MaxValue+1))
 	if err != nil || len(body) > objectstore.MaxValue {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	s.write(w, r, key(p), func(k string) {
-		s.objects[k] = stored{value: body, version: s.version}
+	s.write(w, r, keyOf(p), func(k string) {
+		s.objects[k] = object{value: body, version: s.version}
 	})
 }
 
-func (s *Server) remove(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	s.write(w, r, key(p), func(k string) { delete(s.objects, k) })
+func (s *Server) deleteObject(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	s.write(w, r, keyOf(p), func(k string) { delete(s.objects, k) })
 }
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, key string, apply func(string)) {
 	s.mu.Lock()
 	o, exists := s.objects[key]
-	if !met(r, o, exists) {
+	if !conditionHolds(r, o, exists) {
 		s.mu.Unlock()
 		http.Error(w, "version differs", http.StatusPreconditionFailed)
 		return
@@ -308,13 +311,13 @@
 	s.version++
 	v := s.version
 	apply(key)
-	lost := s.faults.DropWriteResponses > 0
-	if lost {
+	dropResponse := s.faults.DropWriteResponses > 0
+	if dropResponse {
 		s.faults.DropWriteResponses--
 	}
-	s.wake()
+	s.notifyWatches()
 	s.mu.Unlock()
-	if lost {
+	if dropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	writeVersion(w, v)
@@ -323,9 +326,9 @@
 func (s *Server) listBoxes(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	s.mu.Lock()
 	list := []objectstore.Box{}
-	limit := time.Now().Add(-s.faults.BoxListLag)
-	for _, v := range s.shown {
-		if !v.at.After(limit) {
+	cutoff := time.Now().Add(-s.faults.BoxListLag)
+	for _, v := range s.boxLists {
+		if !v.at.After(cutoff) {
 			list = v.boxes
 		}
 	}
--- a/pkg/standin/objectstore/transport.go
+++ b/pkg/standin/objectstore/transport.go
@@ -10,11 +10,11 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// errConnection is what a caller sees of an answer that was lost.
+// errConnection is returned for a call whose response is dropped.
 var errConnection = errors.New("connection broken")
 
-// Transport reaches the stand-in without a socket, so that it also works under
-// virtual time.
+// Transport returns a transport that reaches the stand-in without a socket, so that
+// it also works in virtual time.
 func (s *Server) Transport() http.RoundTripper { return (*transport)(s) }
 
 // Client returns a client that reaches the stand-in without a socket.
