--- a/tools/days/main.go
+++ b/tools/days/main.go
@@ -1,9 +1,13 @@
-// Command days writes days for the users' bench: every kind of trouble with every
-// variant, twice a day at drawn moments, with a second kind beside it. The same seed
-// writes the same days. With --changes it writes days on which the configuration changes
-// in quick succession, by many routes at a time, beside planned work and one trouble. With
-// --duties it writes days on which the box that holds the fleet's duties is struck twice,
-// beside trouble of the platform's calls, of clocks and of the store.
+// Command days generates scenarios ("days") for the users' test bench. By default it
+// writes one day for each variant of each disruption, which occurs twice at random
+// times, combined with a second disruption.
+//
+// With --changes it writes days with large configuration changes in quick succession,
+// combined with planned work and one disruption. With --duties it writes days on which
+// the box that holds the fleet's duties is disrupted twice, combined with faults of
+// platform calls, clocks and the store.
+//
+// The output is deterministic for a seed.
 package main
 
 import (
@@ -15,47 +19,47 @@
 	"strings"
 )
 
-// trouble is one kind of disruption with the settings of one variant.
-type trouble struct {
+// disruption is one kind of fault or planned work with the settings of one variant.
+type disruption struct {
 	kind string
-	// settings stand in the entry as they are.
+	// settings are written to the entry verbatim.
 	settings string
 	planned  bool
 }
 
-func (t trouble) entry(at float64) string {
-	s := fmt.Sprintf("  { kind = %q, at = %.2f", t.kind, at)
-	if t.settings != "" {
-		s += ", " + t.settings
+func (d disruption) entry(at float64) string {
+	s := fmt.Sprintf("  { kind = %q, at = %.2f", d.kind, at)
+	if d.settings != "" {
+		s += ", " + d.settings
 	}
 	return s + " },\n"
 }
 
-// variants lists settings for each variant of "how", after the settings that all of
-// them have.
-func variants(kind, common string, planned bool, hows ...string) []trouble {
-	var list []trouble
-	for _, how := range hows {
+// variants returns a disruption for each value of "how", which follows the common
+// settings. An empty value omits it.
+func variants(kind, common string, planned bool, modes ...string) []disruption {
+	var list []disruption
+	for _, mode := range modes {
 		settings := common
-		if how != "" {
-			settings = strings.TrimPrefix(common+", how = "+fmt.Sprintf("%q", how), ", ")
+		if mode != "" {
+			settings = strings.TrimPrefix(common+", how = "+fmt.Sprintf("%q", mode), ", ")
 		}
-		list = append(list, trouble{kind: kind, settings: settings, planned: planned})
+		list = append(list, disruption{kind: kind, settings: settings, planned: planned})
 	}
 	return list
 }
 
-// closings are the faults at the end of a day; one is drawn.
-var closings = []string{
+// closingFaults are the possible faults at the end of a day. The first is none.
+var closingFaults = []string{
 	"", `closing = { kind = "power_off_all", down_s = 0.8 }`, `closing = { kind = "kill_all", down_s = 1.2 }`,
 	`closing = { kind = "power_off_all", down_s = 1.5, how = "all" }`, `closing = { kind = "power_off_all", down_s = 0.7, how = "timed" }`,
 	`closing = { kind = "kill_all", down_s = 0.9, how = "taken" }`,
 }
 
-// troubles are all kinds that may come.
-func troubles() []trouble {
-	var list []trouble
-	for _, more := range [][]trouble{
+// allDisruptions returns every variant of every kind.
+func allDisruptions() []disruption {
+	var list []disruption
+	for _, group := range [][]disruption{
 		variants("burst", "x = 2.5, for_s = 4.0", false, ""),
 		variants("hot_key", "share = 0.4, for_s = 5.0", false, ""),
 		variants("hot_tenant", "x = 8.0, for_s = 6.0", false, ""),
@@ -76,7 +80,7 @@
 		variants("node_freeze", "share = 0.3, for_s = 3.5", false, "", "meet", "race drain"),
 		variants("node_slow", "share = 0.3, x = 6.0, for_s = 5.0", false, ""),
 		variants("roll_term", "share = 0.6, gap_s = 1.0", true, "", "busy"),
-		// Machines that leave do not come back: a larger share, twice, leaves none.
+		// Removed boxes do not return: twice a larger share would leave none.
 		variants("roll_term", "share = 0.25, gap_s = 1.0", true, "remove"),
 		variants("add_nodes", "", true, ""),
 		variants("after_ack_kill", "for_s = 3.0", false, "", "kill", "timed", "taken"),
@@ -97,72 +101,72 @@
 		variants("hup", "share = 0.6, gap_s = 0.5", true, ""),
 		variants("reset_conns", "share = 0.4, x = 0.6", false, ""),
 	} {
-		list = append(list, more...)
+		list = append(list, group...)
 	}
 	return list
 }
 
-// moment draws when a trouble comes: also at the very start, and twice close to each
-// other.
-func moment(r *rand.Rand) float64 {
-	if r.IntN(6) == 0 {
-		return r.Float64() * 0.5
+// randomTime draws the time of a disruption, with a preference for the start of the
+// day.
+func randomTime(rng *rand.Rand) float64 {
+	if rng.IntN(6) == 0 {
+		return rng.Float64() * 0.5
 	}
-	return 0.5 + r.Float64()*27
+	return 0.5 + rng.Float64()*27
 }
 
-// event is a trouble at a moment of a day.
+// event is a disruption at a time of the day, in seconds.
 type event struct {
-	trouble
+	disruption
 	at float64
 }
 
 const (
-	// routesLeast and routesSpread bound the routes that a large change adds; after two of
-	// them the table takes a link of 10 Mbit/s about a second.
-	routesLeast  = 1000
-	routesSpread = 1001
-	// smallChangesMost bounds the small changes of a series.
-	smallChangesMost = 10
+	// A large change adds minAddedRoutes to minAddedRoutes+addedRoutesRange-1 routes.
+	// After two of them, sending the table over a 10 Mbit/s link takes about a second.
+	minAddedRoutes   = 1000
+	addedRoutesRange = 1001
+	// maxSmallChanges is the largest number of small changes in a series.
+	maxSmallChanges = 10
 )
 
-// changeSeries draws changes of the configuration in quick succession: two large ones some
-// seconds apart, and small ones before, between and behind them.
-func changeSeries(r *rand.Rand) []event {
-	first := 1 + r.Float64()*8
-	second := first + r.Float64()*6
+// changeSeries draws two large configuration changes a few seconds apart, with small
+// changes before, between and after them.
+func changeSeries(rng *rand.Rand) []event {
+	first := 1 + rng.Float64()*8
+	second := first + rng.Float64()*6
 	var series []event
 	for _, at := range []float64{first, second} {
-		settings := fmt.Sprintf("count = %d", routesLeast+r.IntN(routesSpread))
-		series = append(series, event{trouble{kind: "big_config", settings: settings, planned: true}, at})
+		settings := fmt.Sprintf("count = %d", minAddedRoutes+rng.IntN(addedRoutesRange))
+		series = append(series, event{disruption{kind: "big_config", settings: settings, planned: true}, at})
 	}
-	hows := []string{"idle", "weights", "timeout", "route", "tenant"}
-	for range 3 + r.IntN(smallChangesMost-2) {
-		settings := fmt.Sprintf("how = %q", hows[r.IntN(len(hows))])
-		series = append(series, event{trouble{kind: "config_change", settings: settings, planned: true}, max(0, first-1+r.Float64()*14)})
+	modes := []string{"idle", "weights", "timeout", "route", "tenant"}
+	for range 3 + rng.IntN(maxSmallChanges-2) {
+		settings := fmt.Sprintf("how = %q", modes[rng.IntN(len(modes))])
+		series = append(series, event{disruption{kind: "config_change", settings: settings, planned: true}, max(0, first-1+rng.Float64()*14)})
 	}
 	return series
 }
 
-// dayOfChanges writes one day of a series of changes, with planned work and a trouble
-// beside it that may come twice.
-func dayOfChanges(name string, all []trouble, r *rand.Rand) string {
-	events := changeSeries(r)
-	beside := all[r.IntN(len(all))]
-	for range 1 + r.IntN(2) {
-		events = append(events, event{beside, r.Float64() * 16})
+// changeDay returns a day with a series of configuration changes, planned work on
+// servers, and a disruption that occurs once or twice.
+func changeDay(name string, catalogue []disruption, rng *rand.Rand) string {
+	events := changeSeries(rng)
+	background := catalogue[rng.IntN(len(catalogue))]
+	for range 1 + rng.IntN(2) {
+		events = append(events, event{background, rng.Float64() * 16})
 	}
-	servers := []trouble{
+	servers := []disruption{
 		{kind: "release", settings: "share = 0.4, gap_s = 0.7", planned: true}, {kind: "scale_in", settings: "share = 0.2", planned: true},
 	}
-	events = append(events, event{servers[r.IntN(len(servers))], r.Float64() * 14})
-	return written(name, events, r)
+	events = append(events, event{servers[rng.IntN(len(servers))], rng.Float64() * 14})
+	return formatDay(name, events, rng)
 }
 
-// holderStrikes are what may befall the box that holds the duties.
-func holderStrikes() []trouble {
-	var list []trouble
-	for _, more := range [][]trouble{
+// holderDisruptions returns disruptions of the box that holds the duties.
+func holderDisruptions() []disruption {
+	var list []disruption
+	for _, group := range [][]disruption{
 		variants("node_kill", `on = "core", count = 1, for_s = 3.0`, false, "leader", "power leader", "renewed", "leader race"),
 		variants("node_freeze", `on = "core", count = 1, for_s = 4.0`, false, "leader", "renewed"),
 		variants("core_cut", "count = 1, for_s = 5.0", false, "leader", "leader refuse", "leader reset", "leader one_way", "leader all", "renewed"),
@@ -170,15 +174,15 @@
 		variants("platform_down", "count = 1, for_s = 6.0", false, "nodes leader", "nodes leader busy", "nodes leader reset"),
 		variants("replace_core", "", false, ""),
 	} {
-		list = append(list, more...)
+		list = append(list, group...)
 	}
 	return list
 }
 
-// dutyTroubles come beside the strikes.
-func dutyTroubles() []trouble {
-	var list []trouble
-	for _, more := range [][]trouble{
+// backgroundDisruptions returns disruptions that accompany those of the holder.
+func backgroundDisruptions() []disruption {
+	var list []disruption
+	for _, group := range [][]disruption{
 		variants("cloud_down", "for_s = 4.0", false, "silent", "busy", "reset"),
 		variants("cloud_slow", "x = 60.0, for_s = 5.0", false, ""),
 		variants("clock_step", "share = 0.4, x = 4000.0, for_s = 5.0", false, "back", "ahead"),
@@ -189,44 +193,44 @@
 		variants("reset_conns", "share = 0.4, x = 0.6", false, ""),
 		variants("scale_in", "x = 2.2, for_s = 8.0", true, "reclaim", "reclaim dry"),
 	} {
-		list = append(list, more...)
+		list = append(list, group...)
 	}
 	return list
 }
 
-// dayOfDuties writes one day on which the holder of the duties is struck twice, mostly soon
-// after each other.
-func dayOfDuties(name string, r *rand.Rand) string {
-	strikes, beside := holderStrikes(), dutyTroubles()
-	first := 1 + r.Float64()*20
+// dutyDay returns a day on which the holder of the duties is disrupted twice within 8
+// seconds, with other disruptions in the background.
+func dutyDay(name string, rng *rand.Rand) string {
+	onHolder, background := holderDisruptions(), backgroundDisruptions()
+	first := 1 + rng.Float64()*20
 	events := []event{
-		{strikes[r.IntN(len(strikes))], first},
-		{strikes[r.IntN(len(strikes))], first + r.Float64()*8},
+		{onHolder[rng.IntN(len(onHolder))], first},
+		{onHolder[rng.IntN(len(onHolder))], first + rng.Float64()*8},
 	}
-	for range 2 + r.IntN(2) {
-		events = append(events, event{beside[r.IntN(len(beside))], max(0, first-2+r.Float64()*14)})
+	for range 2 + rng.IntN(2) {
+		events = append(events, event{background[rng.IntN(len(background))], max(0, first-2+rng.Float64()*14)})
 	}
-	return written(name, events, r)
+	return formatDay(name, events, rng)
 }
 
-// day writes one day: a trouble twice, a second kind beside it, planned work and a
-// closing fault by chance.
-func day(name string, t trouble, all []trouble, r *rand.Rand) string {
-	first := moment(r)
+// disruptionDay returns a day on which d occurs twice, with other disruptions and a
+// configuration change around it.
+func disruptionDay(name string, d disruption, catalogue []disruption, rng *rand.Rand) string {
+	first := randomTime(rng)
 	events := []event{
-		{t, first},
-		{t, moment(r)},
-		{all[r.IntN(len(all))], max(0, first+r.Float64()*4-1)},
-		{trouble{kind: "config_change", settings: `how = "idle"`, planned: true}, first + r.Float64()*3},
+		{d, first},
+		{d, randomTime(rng)},
+		{catalogue[rng.IntN(len(catalogue))], max(0, first+rng.Float64()*4-1)},
+		{disruption{kind: "config_change", settings: `how = "idle"`, planned: true}, first + rng.Float64()*3},
 	}
-	if r.IntN(2) == 0 {
-		events = append(events, event{all[r.IntN(len(all))], moment(r)})
+	if rng.IntN(2) == 0 {
+		events = append(events, event{catalogue[rng.IntN(len(catalogue))], randomTime(rng)})
 	}
-	return written(name, events, r)
+	return formatDay(name, events, rng)
 }
 
-// written is a day as the bench reads it, with a closing fault by chance.
-func written(name string, events []event, r *rand.Rand) string {
+// formatDay formats a day in the format of the test bench, with a random closing fault.
+func formatDay(name string, events []event, rng *rand.Rand) string {
 	var plan, faults string
 	for _, e := range events {
 		if e.planned {
@@ -235,7 +239,7 @@
 			faults += e.entry(e.at)
 		}
 	}
-	return fmt.Sprintf("[[day]]\nname = %q\nseed = %d\n%s\nplan = [\n%s]\nfaults = [\n%s]\n", name, r.Uint32N(1<<30), closings[r.IntN(len(closings))], plan, faults)
+	return fmt.Sprintf("[[day]]\nname = %q\nseed = %d\n%s\nplan = [\n%s]\nfaults = [\n%s]\n", name, rng.Uint32N(1<<30), closingFaults[rng.IntN(len(closingFaults))], plan, faults)
 }
 
 func main() {
@@ -255,21 +259,21 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	r := rand.New(rand.NewPCG(seed, 1))
-	all := troubles()
+	rng := rand.New(rand.NewPCG(seed, 1))
+	catalogue := allDisruptions()
 	days := make(map[string]string)
 	for n := range changes {
 		name := fmt.Sprintf("changes-%d-%03d", seed, n)
-		days[name] = dayOfChanges(name, all, r)
+		days[name] = changeDay(name, catalogue, rng)
 	}
 	for n := range duties {
 		name := fmt.Sprintf("duties-%d-%03d", seed, n)
-		days[name] = dayOfDuties(name, r)
+		days[name] = dutyDay(name, rng)
 	}
 	if changes == 0 && duties == 0 {
-		for n := range rounds * len(all) {
+		for n := range rounds * len(catalogue) {
 			name := fmt.Sprintf("own-%d-%03d", seed, n)
-			days[name] = day(name, all[n%len(all)], all, r)
+			days[name] = disruptionDay(name, catalogue[n%len(catalogue)], catalogue, rng)
 		}
 	}
 	for name, text := range days {
