--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen compiles a .proto file and writes a generator's request for it to
-// standard output, so that the committed code can be made anew without protoc.
+// Command protogen compiles a .proto file and writes the CodeGeneratorRequest for a
+// protoc plugin to standard output, so that code is generated without protoc.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 func run(args []string) error {
 	if len(args) != 1 {
-		return fmt.Errorf("name one .proto file, got %d arguments", len(args))
+		return fmt.Errorf("want one .proto file, got %d arguments", len(args))
 	}
 	compiler := protocompile.Compiler{
 		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{}),
--- a/tools/protoout/main.go
+++ b/tools/protoout/main.go
@@ -1,5 +1,5 @@
-// Command protoout writes the files of a generator's response, which it reads from
-// standard input.
+// Command protoout reads the CodeGeneratorResponse of a protoc plugin from standard
+// input and writes the files that it contains.
 package main
 
 import (
@@ -28,7 +28,7 @@
 		return err
 	}
 	if response.Error != nil {
-		return fmt.Errorf("the generator failed: %s", response.GetError())
+		return fmt.Errorf("code generator failed: %s", response.GetError())
 	}
 	for _, f := range response.File {
 		if err := os.WriteFile(f.GetName(), []byte(f.GetContent()), 0o644); err != nil {
