--- a/pkg/measure/measure_test.go
+++ b/pkg/measure/measure_test.go
@@ -19,7 +19,7 @@
 
 // Guards attainment of the top tier, wasted work, goodput and occupancy against
 // regressions, and every class against starvation.
-func TestAimsHoldInBothDays(t *testing.T) {
+func TestScenariosMeetTheirTargets(t *testing.T) {
 	for _, s := range []Scenario{Hanoi(), Recife()} {
 		list := Measure(s, Mechanisms()[:2], 3)
 		headhill, baseline := list[0], list[1]
