--- a/pkg/load/load.go
+++ b/pkg/load/load.go
@@ -69,7 +69,8 @@
 // Result holds the results of one class.
 type Result struct {
 	Class string `json:"class"`
-	Sent  int    `json:"sent"`
+	// Sent includes skipped requests.
+	Sent int `json:"sent"`
 	// Skipped counts requests not sent because MaxInFlight was reached.
 	Skipped int `json:"skipped"`
 	Done    int `json:"done"`
@@ -149,7 +150,7 @@
 	if s.interToken > 0 {
 		record(rec.interToken, s.interToken)
 	}
-	if meets(s.firstToken, rec.class.FirstTokenTarget) && meets(s.interToken, rec.class.InterTokenTarget) {
+	if meetsTarget(s.firstToken, rec.class.FirstTokenTarget) && meetsTarget(s.interToken, rec.class.InterTokenTarget) {
 		r.Attained++
 	}
 }
@@ -159,7 +160,7 @@
 	_ = h.RecordValue(min(d.Microseconds(), maxHistogramUs))
 }
 
-func meets(d, target time.Duration) bool { return target <= 0 || d <= target }
+func meetsTarget(d, target time.Duration) bool { return target <= 0 || d <= target }
 
 func (rec *recorder) finish(elapsed time.Duration) Result {
 	rec.mu.Lock()
@@ -181,7 +182,7 @@
 	if err := opts.check(); err != nil {
 		return nil, err
 	}
-	d := &driver{opts: opts, start: time.Now(), slots: make(chan struct{}, opts.MaxInFlight), caller: newCaller(opts)}
+	d := &driver{opts: opts, start: time.Now(), inFlight: make(chan struct{}, opts.MaxInFlight), caller: newCaller(opts)}
 	recorders := make([]*recorder, len(opts.Classes))
 	var arrivals conc.WaitGroup
 	for i, c := range opts.Classes {
@@ -204,7 +205,7 @@
 type driver struct {
 	opts     Options
 	start    time.Time
-	slots    chan struct{}
+	inFlight chan struct{}
 	caller   *caller
 	requests conc.WaitGroup
 
@@ -216,7 +217,7 @@
 func (d *driver) sendClass(ctx context.Context, rec *recorder, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, seed+1))
 	next := d.start
-	for n := 0; ; n++ {
+	for index := 0; ; index++ {
 		rate := rec.class.Rate * d.rateFactor(time.Since(d.start))
 		if rate <= 0 {
 			return
@@ -225,7 +226,7 @@
 		if next.Sub(d.start) > d.opts.Duration || !sleepUntil(ctx, next) {
 			return
 		}
-		d.send(ctx, rec, n)
+		d.send(ctx, rec, index)
 	}
 }
 
@@ -247,28 +248,28 @@
 	}
 }
 
-func (d *driver) send(ctx context.Context, rec *recorder, n int) {
+func (d *driver) send(ctx context.Context, rec *recorder, index int) {
 	rec.mu.Lock()
 	rec.result.Sent++
 	rec.mu.Unlock()
 	select {
-	case d.slots <- struct{}{}:
+	case d.inFlight <- struct{}{}:
 	default:
 		rec.mu.Lock()
 		rec.result.Skipped++
 		rec.mu.Unlock()
 		return
 	}
-	d.count(1, 0)
-	target := d.opts.Targets[n%len(d.opts.Targets)]
+	d.updateProgress(1, 0)
+	baseURL := d.opts.Targets[index%len(d.opts.Targets)]
 	d.requests.Go(func() {
-		rec.add(d.caller.call(ctx, target, rec.class.Name, n))
-		<-d.slots
-		d.count(0, 1)
+		rec.add(d.caller.call(ctx, baseURL, rec.class.Name, index))
+		<-d.inFlight
+		d.updateProgress(0, 1)
 	})
 }
 
-func (d *driver) count(sent, ended int) {
+func (d *driver) updateProgress(sent, ended int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sent += sent
--- a/pkg/measure/result.go
+++ b/pkg/measure/result.go
@@ -12,7 +12,8 @@
 // ClassResult holds the results of one class in one run.
 type ClassResult struct {
 	Class string `json:"class"`
-	// Requests counts requests; retries of a request are not counted again.
+	// Requests counts requests made early enough to complete before the run ends.
+	// Retries are not counted.
 	Requests int `json:"asked"`
 	// Attainment is the share of requests answered in full within the latency
 	// targets, measured from the first attempt. BurstAttainment covers only
@@ -35,10 +36,10 @@
 	InterTokenP95Ms float64 `json:"between_p95_ms"`
 	LongestWaitMs   float64 `json:"longest_wait_ms"`
 
-	attained, burstRequests, burstAttained, starts int
-	firstToken, interToken                         *hdrhistogram.Histogram
-	requestsByOrg, attainedByOrg                   map[string]int
-	longestWait                                    time.Duration
+	attained, burstRequests, burstAttained, burstStarts int
+	firstToken, interToken                              *hdrhistogram.Histogram
+	requestsByOrg, attainedByOrg                        map[string]int
+	longestWait                                         time.Duration
 }
 
 // Result holds the results of one run.
@@ -82,14 +83,14 @@
 	return r
 }
 
-// settleTime is the time allowed for an answer to complete after its first-token
-// target.
-const settleTime = 30 * second
+// completionTime is the time allowed from the first-token target to the end of an
+// answer.
+const completionTime = 30 * second
 
 // measurable reports whether a request was made early enough to complete before
 // the run ends.
 func (r *Result) measurable(c *call) bool {
-	return c.requestedAt < r.scenario.Duration-c.class.FirstTokenTarget-settleTime
+	return c.requestedAt < r.scenario.Duration-c.class.FirstTokenTarget-completionTime
 }
 
 func (r *Result) inBurst(t time.Duration) bool {
@@ -123,20 +124,22 @@
 func (r *Result) recordStart(c *call, now time.Duration) {
 	cr := r.byClass[c.class.Name]
 	if r.inBurst(now) {
-		cr.starts++
+		cr.burstStarts++
 	}
 	if c.delivered == 0 {
 		cr.longestWait = max(cr.longestWait, now-c.attemptedAt)
 	}
 }
 
-func (r *Result) addProcessedTokens(read, generated int) { r.processedTokens += read + generated }
+func (r *Result) addProcessedTokens(prefilled, generated int) {
+	r.processedTokens += prefilled + generated
+}
 
 func (r *Result) addWastedTokens(tokens int) { r.wastedTokens += tokens }
 
-func (r *Result) recordEnd(c *call, done bool, now time.Duration) {
+func (r *Result) recordEnd(c *call, completed bool, now time.Duration) {
 	cr := r.byClass[c.class.Name]
-	if !done {
+	if !completed {
 		r.wastedTokens += c.delivered
 		return
 	}
@@ -154,7 +157,7 @@
 	}
 	_ = cr.firstToken.RecordValue(min(firstToken.Microseconds(), maxHistogramUs))
 	_ = cr.interToken.RecordValue(min(interToken.Microseconds(), maxHistogramUs))
-	if !within(firstToken, c.class.FirstTokenTarget) || !within(interToken, c.class.InterTokenTarget) || !r.measurable(c) {
+	if !meetsTarget(firstToken, c.class.FirstTokenTarget) || !meetsTarget(interToken, c.class.InterTokenTarget) || !r.measurable(c) {
 		return
 	}
 	cr.attained++
@@ -164,7 +167,7 @@
 	}
 }
 
-func within(d, target time.Duration) bool { return target <= 0 || d <= target }
+func meetsTarget(d, target time.Duration) bool { return target <= 0 || d <= target }
 
 // occupancySampler returns a function that samples the occupancy during the burst,
 // after the time in which the servers fill up.
@@ -183,16 +186,16 @@
 	}
 }
 
-func (r *Result) computeFigures(*simulation) {
-	attained, starts := 0, 0
+func (r *Result) finalize(*simulation) {
+	attained, burstStarts := 0, 0
 	for _, c := range r.Classes {
-		starts += c.starts
+		burstStarts += c.burstStarts
 	}
 	for _, c := range r.Classes {
 		attained += c.attained
 		c.Attainment = ratio(c.attained, c.Requests)
 		c.BurstAttainment = ratio(c.burstAttained, c.burstRequests)
-		c.BurstStartShare = ratio(c.starts, starts)
+		c.BurstStartShare = ratio(c.burstStarts, burstStarts)
 		c.FirstTokenP95Ms = float64(c.firstToken.ValueAtQuantile(95)) / 1000
 		c.InterTokenP95Ms = float64(c.interToken.ValueAtQuantile(95)) / 1000
 		c.LongestWaitMs = float64(c.longestWait.Milliseconds())
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -126,7 +126,7 @@
 		r.now = e.at
 		e.action()
 	}
-	r.result.computeFigures(r)
+	r.result.finalize(r)
 	return r.result
 }
 
@@ -215,11 +215,11 @@
 	t := after + time.Duration(r.rng.ExpFloat64()/rate*float64(second))
 	if r.inBurst(t) != r.inBurst(after) {
 		// The rate changes before that arrival: draw again from the change on.
-		edge := r.scenario.BurstStart
-		if after >= edge {
-			edge += r.scenario.BurstDuration
+		rateChange := r.scenario.BurstStart
+		if after >= rateChange {
+			rateChange += r.scenario.BurstDuration
 		}
-		r.schedule(edge, func() { r.nextArrival(c, r.now) })
+		r.schedule(rateChange, func() { r.nextArrival(c, r.now) })
 		return
 	}
 	r.schedule(t, func() {
@@ -381,8 +381,8 @@
 			return
 		}
 		s.stepping = false
-		ended, read, generated := s.step(r.now)
-		r.result.addProcessedTokens(read, generated)
+		ended, prefilled, generated := s.step(r.now)
+		r.result.addProcessedTokens(prefilled, generated)
 		for _, q := range ended {
 			r.completeCall(q)
 		}
@@ -402,9 +402,9 @@
 	r.applyDecisions()
 }
 
-func (r *simulation) endCall(c *call, done bool) {
+func (r *simulation) endCall(c *call, completed bool) {
 	c.ended = true
-	r.result.recordEnd(c, done, r.now)
+	r.result.recordEnd(c, completed, r.now)
 }
 
 // crashServer takes a server down and places its calls elsewhere. With the
--- a/pkg/measure/server.go
+++ b/pkg/measure/server.go
@@ -111,8 +111,8 @@
 
 // step completes a step, in which each sequence prefills a chunk of its prompt or
 // generates a token. It returns the sequences that ended and the numbers of tokens
-// read and generated.
-func (s *server) step(now time.Duration) (ended []*sequence, read, generated int) {
+// prefilled and generated.
+func (s *server) step(now time.Duration) (ended []*sequence, prefilled, generated int) {
 	s.account(now)
 	remaining := s.running[:0]
 	for _, q := range s.running {
@@ -120,7 +120,7 @@
 			n := min(q.prefillLeft, prefillChunkTokens)
 			q.prefillLeft -= n
 			q.prefilled += n
-			read += n
+			prefilled += n
 			if q.prefillLeft > 0 {
 				remaining = append(remaining, q)
 				continue
@@ -141,7 +141,7 @@
 	s.running = remaining
 	s.admit()
 	s.recordLoad(now)
-	return ended, read, generated
+	return ended, prefilled, generated
 }
 
 func (s *server) admit() {
--- a/pkg/standin/engine/answer.go
+++ b/pkg/standin/engine/answer.go
@@ -198,10 +198,10 @@
 	}
 }
 
-func writeChunk(w *crashingWriter, id string, d delta, finish *string) {
-	e := chunk{ID: id, Object: "chat.completion.chunk", Choices: []choice{{Delta: d, FinishReason: finish}}}
+func writeChunk(w *crashingWriter, id string, d delta, finishReason *string) {
+	c := chunk{ID: id, Object: "chat.completion.chunk", Choices: []choice{{Delta: d, FinishReason: finishReason}}}
 	// Marshalling this struct can't fail.
-	b, _ := json.Marshal(e)
+	b, _ := json.Marshal(c)
 	_ = sse.Write(w, b)
 	_ = http.NewResponseController(w.w).Flush()
 }
