--- a/pkg/routerd/connections.go
+++ b/pkg/routerd/connections.go
@@ -8,134 +8,135 @@
 	"time"
 )
 
-// connections tracks the callers' connections, so that a planned stop closes only those
-// that rest. What net/http offers for that closes a connection also while a request that
-// has been read on it is about to be served.
-type connections struct {
+// connTracker tracks the connections of callers so that a planned stop closes only idle ones.
+// http.Server.Shutdown may close a connection between reading a request and calling the handler.
+type connTracker struct {
 	mu       sync.Mutex
-	open     map[net.Conn]*connection
+	open     map[net.Conn]*trackedConn
 	stopping bool
 }
 
-// connection is one connection of a caller; its owner's mu guards the state.
-type connection struct {
+// trackedConn is a connection of a caller. Its state is guarded by connTracker.mu.
+type trackedConn struct {
 	conn  net.Conn
-	state connectionState
+	state connState
 }
 
-// connectionState says what a connection is used for.
-type connectionState int
+// connState is the state of a connection.
+type connState int
 
 const (
-	// connectionFresh has served no request yet: its caller is about to send one.
-	connectionFresh connectionState = iota
-	connectionResting
-	connectionServing
-	// connectionClosed is closed by this box. A request that comes after all is not served.
-	connectionClosed
+	// connNew is the state before the first request. Such connections stay open during a stop,
+	// as the caller is about to send a request.
+	connNew connState = iota
+	connIdle
+	connActive
+	// connClosed is a connection closed by this box. Requests still read from it are aborted.
+	connClosed
 )
 
-// connectionKey marks the connection in the contexts of its requests.
-type connectionKey struct{}
+// trackedConnKey is the context key of the trackedConn of a request.
+type trackedConnKey struct{}
 
-// newConnections returns a tracker of the connections of a server that is not started yet.
-func newConnections(s *http.Server) *connections {
-	c := &connections{open: make(map[net.Conn]*connection)}
-	s.ConnContext = c.begin
-	s.ConnState = c.changed
-	s.Handler = c.serving(s.Handler)
-	return c
+// newConnTracker installs a tracker in a server that has not been started.
+func newConnTracker(s *http.Server) *connTracker {
+	t := &connTracker{open: make(map[net.Conn]*trackedConn)}
+	s.ConnContext = t.onConnect
+	s.ConnState = t.onStateChange
+	s.Handler = t.wrapHandler(s.Handler)
+	return t
 }
 
-// begin notes a new connection.
-func (c *connections) begin(ctx context.Context, conn net.Conn) context.Context {
-	x := &connection{conn: conn}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.open[conn] = x
-	return context.WithValue(ctx, connectionKey{}, x)
+// onConnect implements http.Server.ConnContext.
+func (t *connTracker) onConnect(ctx context.Context, conn net.Conn) context.Context {
+	tc := &trackedConn{conn: conn}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open[conn] = tc
+	return context.WithValue(ctx, trackedConnKey{}, tc)
 }
 
-// changed follows the states that net/http tells. An answer has been sent whole before its
-// connection is idle.
-func (c *connections) changed(conn net.Conn, state http.ConnState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// onStateChange implements http.Server.ConnState. net/http reports a connection as idle only
+// after the answer has been sent completely.
+func (t *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		x := c.open[conn]
-		x.state = connectionResting
-		if c.stopping {
-			x.close()
+		tc := t.open[conn]
+		tc.state = connIdle
+		if t.stopping {
+			tc.closeLocked()
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(c.open, conn)
+		delete(t.open, conn)
 	}
 }
 
-// close closes a connection that serves nothing. The caller holds mu.
-func (x *connection) close() {
-	x.state = connectionClosed
-	_ = x.conn.Close()
+// closeLocked closes a connection without a request in flight. connTracker.mu must be held.
+func (tc *trackedConn) closeLocked() {
+	tc.state = connClosed
+	_ = tc.conn.Close()
 }
 
-// serving returns a handler that serves nothing on a connection which has been closed: its
-// caller could not get the answer.
-func (c *connections) serving(h http.Handler) http.Handler {
+// wrapHandler returns a handler that aborts requests from connections that have been closed, as
+// their answers could not be delivered.
+func (t *connTracker) wrapHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !c.serve(r.Context()) {
+		if !t.startRequest(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// serve notes that a request is served. It returns false where its connection is closed.
-func (c *connections) serve(ctx context.Context) bool {
-	x, ok := ctx.Value(connectionKey{}).(*connection)
+// startRequest marks the connection of a request as active. It returns false if the connection has
+// been closed.
+func (t *connTracker) startRequest(ctx context.Context) bool {
+	tc, ok := ctx.Value(trackedConnKey{}).(*trackedConn)
 	if !ok {
 		return true
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if x.state == connectionClosed {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if tc.state == connClosed {
 		return false
 	}
-	x.state = connectionServing
+	tc.state = connActive
 	return true
 }
 
-// closeResting closes the connections that rest, now and from now on.
-func (c *connections) closeResting() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.stopping = true
-	for _, x := range c.open {
-		if x.state == connectionResting {
-			x.close()
+// closeIdle closes idle connections, and from now on each connection that becomes idle.
+func (t *connTracker) closeIdle() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopping = true
+	for _, tc := range t.open {
+		if tc.state == connIdle {
+			tc.closeLocked()
 		}
 	}
 }
 
-// closeAll waits until no request is being served, at most until ctx ends, and closes all
-// connections. A request that comes later is not served.
-func (c *connections) closeAll(ctx context.Context) {
-	for ctx.Err() == nil && c.isServing() {
-		time.Sleep(stopCheck)
+// drainAndClose waits until no request is in flight or ctx is done, then closes all connections.
+// Requests read after that are aborted.
+func (t *connTracker) drainAndClose(ctx context.Context) {
+	for ctx.Err() == nil && t.anyActive() {
+		time.Sleep(idlePollInterval)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, x := range c.open {
-		x.close()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, tc := range t.open {
+		tc.closeLocked()
 	}
 }
 
-// isServing tells whether any request is being served.
-func (c *connections) isServing() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, x := range c.open {
-		if x.state == connectionServing {
+// anyActive reports whether a request is in flight.
+func (t *connTracker) anyActive() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, tc := range t.open {
+		if tc.state == connActive {
 			return true
 		}
 	}
--- a/pkg/routerd/connections_test.go
+++ b/pkg/routerd/connections_test.go
@@ -13,48 +13,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readHook is a listener whose connections call a function each time that they have read
-// something, before whoever reads gets it.
-type readHook struct {
+// hookedListener is a listener whose connections call afterRead after each read that returned data,
+// before the data is passed on.
+type hookedListener struct {
 	net.Listener
-	after func()
+	afterRead func()
 }
 
-func (l readHook) Accept() (net.Conn, error) {
+func (l hookedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &hookedConn{Conn: c, after: l.after}, err
+	return &hookedConn{Conn: c, afterRead: l.afterRead}, err
 }
 
 type hookedConn struct {
 	net.Conn
-	after func()
+	afterRead func()
 }
 
 func (c *hookedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.after()
+		c.afterRead()
 	}
 	return n, err
 }
 
-const request = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
+const rawRequest = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
 
-// A stop may come when a request on a kept connection has been read and nobody has looked
-// at it yet. It is answered, or nothing is done for it.
+// Guards against a stop that closes a keep-alive connection after a request has been read from it
+// but before the handler runs. Such a request must be answered or never reach the handler.
 func TestStopLetsARequestThatWasReadBeAnswered(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var taken atomic.Int32
-	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { taken.Add(1) })}
-	connections := newConnections(server)
-	var requests atomic.Int32
-	rest := func() {
-		if requests.Add(1) == 2 {
-			connections.closeResting()
+	var handled atomic.Int32
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { handled.Add(1) })}
+	tracker := newConnTracker(server)
+	var requestsRead atomic.Int32
+	stopOnSecond := func() {
+		if requestsRead.Add(1) == 2 {
+			tracker.closeIdle()
 		}
 	}
-	go func() { _ = server.Serve(readHook{Listener: listener, after: rest}) }()
+	go func() { _ = server.Serve(hookedListener{Listener: listener, afterRead: stopOnSecond}) }()
 	defer server.Close()
 	c, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 	reader := bufio.NewReader(c)
 	answers := int32(0)
 	for range 2 {
-		_, err = io.WriteString(c, request)
+		_, err = io.WriteString(c, rawRequest)
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(reader, nil)
 		if err == nil {
@@ -72,48 +72,48 @@
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, taken.Load(), answers, "requests taken, and answered")
+	assert.Equal(t, handled.Load(), answers, "requests handled and answers received")
 }
 
-// served runs f with a server whose handler waits until it is let go on.
-func served(t *testing.T, f func(c *connections, address string, taken chan struct{}, goOn chan struct{})) {
+// withBlockingServer runs f with a server whose handler signals handled and then waits for unblock.
+func withBlockingServer(t *testing.T, f func(tracker *connTracker, address string, handled chan struct{}, unblock chan struct{})) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	taken, goOn := make(chan struct{}, 8), make(chan struct{})
+	handled, unblock := make(chan struct{}, 8), make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		taken <- struct{}{}
-		<-goOn
+		handled <- struct{}{}
+		<-unblock
 	})}
-	c := newConnections(server)
+	tracker := newConnTracker(server)
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
-	f(c, listener.Addr().String(), taken, goOn)
+	f(tracker, listener.Addr().String(), handled, unblock)
 }
 
-// A request that is being served when the stop begins is answered, and its connection is
-// closed after that.
-func TestStopWaitsForWhatIsServed(t *testing.T) {
-	served(t, func(connections *connections, address string, taken, goOn chan struct{}) {
+// Guards against a stop that closes connections with a request in flight, or that leaves them open
+// after the answer.
+func TestStopWaitsForRequestsInFlight(t *testing.T) {
+	withBlockingServer(t, func(tracker *connTracker, address string, handled, unblock chan struct{}) {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
 		require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
-		_, err = io.WriteString(c, request)
+		_, err = io.WriteString(c, rawRequest)
 		require.NoError(t, err)
-		<-taken
-		connections.closeResting()
+		<-handled
+		tracker.closeIdle()
 		closed := make(chan struct{})
 		go func() {
-			connections.closeAll(t.Context())
+			tracker.drainAndClose(t.Context())
 			close(closed)
 		}()
-		time.Sleep(5 * stopCheck)
+		time.Sleep(5 * idlePollInterval)
 		select {
 		case <-closed:
-			t.Fatal("the connection was closed while its request was served")
+			t.Fatal("the connection was closed while its request was in flight")
 		default:
 		}
-		close(goOn)
+		close(unblock)
 		reader := bufio.NewReader(c)
 		_, err = http.ReadResponse(reader, nil)
 		require.NoError(t, err)
@@ -123,20 +123,20 @@
 	})
 }
 
-// A caller that has just connected when the stop begins may send its request.
-func TestStopLetsFreshConnectionsSendARequest(t *testing.T) {
-	served(t, func(connections *connections, address string, _, goOn chan struct{}) {
-		close(goOn)
+// Guards against a stop that closes new connections before their first request.
+func TestStopAcceptsRequestOnNewConnection(t *testing.T) {
+	withBlockingServer(t, func(tracker *connTracker, address string, _, unblock chan struct{}) {
+		close(unblock)
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
 		require.Eventually(t, func() bool {
-			connections.mu.Lock()
-			defer connections.mu.Unlock()
-			return len(connections.open) == 1
+			tracker.mu.Lock()
+			defer tracker.mu.Unlock()
+			return len(tracker.open) == 1
 		}, 10*time.Second, time.Millisecond)
-		connections.closeResting()
-		_, err = io.WriteString(c, request)
+		tracker.closeIdle()
+		_, err = io.WriteString(c, rawRequest)
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -39,45 +39,44 @@
 )
 
 const (
-	// serverDial is how long a connection to a server may take to come up.
-	serverDial = 300 * time.Millisecond
-	// headerMost and the timeouts bound callers before any table is known; they
-	// stand above what tables allow.
-	headerMost    = 64 << 10
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	// heldShare is the part of the memory that callers' bodies may take, with answers until they are
-	// passed on.
-	heldShare = 4
-	// callerShare is the part of the descriptors that callers' connections may take;
-	// reservedDescriptors are kept for files and ports.
-	callerShare         = 0.6
-	reservedDescriptors = 200
-	// memoryShare is the part of the memory that the runtime aims to stay within.
-	memoryShare = 0.8
-	// requestsPerMB bounds the requests in progress by the memory.
+	serverDialTimeout = 300 * time.Millisecond
+	// maxHeaderBytes, headerTimeout and idleTimeout apply before a routing table is loaded. They
+	// exceed the limits that a table can set.
+	maxHeaderBytes = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	// heldMemoryDivisor is the quotient of the memory limit and the limit on buffered requests and
+	// answers.
+	heldMemoryDivisor = 4
+	// callerDescriptorShare is the fraction of the file descriptors available to connections of
+	// callers, after reservedDescriptors are set aside for files and listeners.
+	callerDescriptorShare = 0.6
+	reservedDescriptors   = 200
+	// memoryLimitShare is the runtime's soft memory limit as a fraction of the configured memory.
+	memoryLimitShare = 0.8
+	// requestsPerMB limits the requests in flight per MiB of configured memory.
 	requestsPerMB = 16
-	// fleetLeast is the number of boxes that share the slack of the retry budget
-	// at the least: others may start before this box hears of them.
-	fleetLeast = 16
+	// minFleetSize is the smallest number of boxes among which the retry slack is divided, as boxes
+	// may have started that are not in the roster of this box yet.
+	minFleetSize = 16
 )
 
-// Adapter is what the daemon needs of the platform that it runs on.
+// Adapter connects the daemon to a platform.
 type Adapter struct {
 	Protocol gateway.Protocol
-	// Source returns where routes and servers come from.
+	// Source returns the source of routes and servers.
 	Source func(StoreAccess) directory.Source
-	// Roster returns where boxes enter themselves.
+	// Roster returns the store in which boxes register.
 	Roster func(StoreAccess) roster.Store
-	// Lease returns where the lease of the fleet's duties is kept.
+	// Lease returns the store of the lease for fleet duties.
 	Lease func(StoreAccess) lease.Store
-	// Quarantine returns where the record of held requests is kept.
+	// Quarantine returns the store of quarantined requests.
 	Quarantine func(StoreAccess) quarantine.Store
-	// Cloud returns where the duties' calls go.
+	// Cloud returns the client for the calls that fleet duties make.
 	Cloud func(address func() string) duties.Cloud
 }
 
-// Daemon is one routing box.
+// Daemon is a routing box.
 type Daemon struct {
 	settings atomic.Pointer[Settings]
 	logger   log.Logger
@@ -90,62 +89,62 @@
 	sharer    *loadshare.Sharer
 	sweeper   *roster.Sweeper
 	snapshots *snapshot.Client
-	// completing says that all boxes are being read.
-	completing atomic.Bool
-	upstream   *upstream.Client
-	duties     *fleetDuties
-	// quarantine keeps requests of which servers crash away from them.
-	quarantine *quarantine.Quarantine
-	budget     *retry.Budget
-	// limiter bounds what goes to limited servers.
-	limiter *fleetlimit.Limiter
-	calls   *storeCalls
-	gateway *gateway.Gateway
-	metrics *telemetry.Metrics
-
-	callers, ready, metricsServer, snapshotServer    *http.Server
-	connections                                      *connections
-	callerPort, readyPort, metricsPort, snapshotPort net.Listener
-	peerPort                                         net.PacketConn
-
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     conc.WaitGroup
-	stop   atomic.Pointer[gateway.Shutdown]
-	// checkFailed says that the last check of the store failed.
-	checkFailed atomic.Bool
+	// readingRoster is set while completeRoster reads the full roster.
+	readingRoster atomic.Bool
+	upstream      *upstream.Client
+	duties        *fleetDuties
+	// quarantine holds back requests that crash servers.
+	quarantine  *quarantine.Quarantine
+	retryBudget *retry.Budget
+	// limiter limits the request rate to servers that signal a rate limit.
+	limiter    *fleetlimit.Limiter
+	storeCalls *storeCalls
+	gateway    *gateway.Gateway
+	metrics    *telemetry.Metrics
+
+	callerServer, readyServer, metricsServer, snapshotServer         *http.Server
+	conns                                                            *connTracker
+	callerListener, readyListener, metricsListener, snapshotListener net.Listener
+	peerConn                                                         net.PacketConn
+
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       conc.WaitGroup
+	shutdown atomic.Pointer[gateway.Shutdown]
+	// storeCheckFailed is set if the last check of the store failed.
+	storeCheckFailed atomic.Bool
 }
 
-// New opens the ports and puts the parts together. Nothing runs before Start.
+// New opens the listeners and wires up the components. No goroutine runs before Start.
 func New(s Settings, a Adapter, logs *logflags.Loggers) (*Daemon, error) {
 	metrics, err := telemetry.New()
 	if err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	d := &Daemon{logger: logs.For(logflags.Box), metrics: metrics, upstream: upstream.NewClient(serverDial)}
+	d := &Daemon{logger: logs.For(logflags.Box), metrics: metrics, upstream: upstream.NewClient(serverDialTimeout)}
 	d.settings.Store(&s)
-	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMB<<20) * memoryShare))
-	if err := d.open(s.Listen); err != nil {
+	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMB<<20) * memoryLimitShare))
+	if err := d.listen(s.Listen); err != nil {
 		return nil, err
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.directory = directory.New(logs.For(logflags.Directory))
-	d.calls = newStoreCalls(s.CallBudget)
-	unusable := newLeftOut(logs.For(logflags.Directory))
-	if err := metrics.AddGauges(append(beliefGauges(d.directory), d.calls.gauge(), unusable.gauge())...); err != nil {
+	d.storeCalls = newStoreCalls(s.CallBudget)
+	unusable := newUnusableEntries(logs.For(logflags.Directory))
+	if err := metrics.AddGauges(append(directoryGauges(d.directory), d.storeCalls.gauge(), unusable.gauge())...); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.calls.admit, OnUnusableEntry: unusable.note}
+	access := StoreAccess{Address: func() string { return d.settings.Load().Store }, Admit: d.storeCalls.admit, OnUnusableEntry: unusable.record}
 	d.source = a.Source(access)
-	self := roster.Entry{Box: s.Box.ID, Hall: s.Box.Hall, Peer: d.peerPort.LocalAddr().String(), LinkMbps: s.Limits.LinkMbps, Level: forms.Level}
+	self := roster.Entry{Box: s.Box.ID, Hall: s.Box.Hall, Peer: d.peerConn.LocalAddr().String(), LinkMbps: s.Limits.LinkMbps, Level: forms.Level}
 	d.roster = roster.New(a.Roster(access), self, storeLimits, logs.For(logflags.Directory))
 	balance := balancer.New(logs.For(logflags.Balancer))
 	d.limiter = fleetlimit.New(s.Box.ID, logs.For(logflags.Balancer))
 	balance.SetLimiter(d.limiter)
 	peerLogger := logs.For(logflags.Peer)
-	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerPort, Known: d.roster.Known, Logger: peerLogger})
+	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerConn, Known: d.roster.Known, Logger: peerLogger})
 	d.checker = announce.New(announce.Deps{
-		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, Look: d.look, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
+		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, Look: d.discoverBoxes, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
 	})
 	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, Wait: d.snapshotWait})
 	d.sweeper = roster.NewSweeper(d.roster, d.peers, peerLogger)
@@ -162,15 +161,15 @@
 	if err := metrics.AddGauges(quarantineGauge(d.quarantine), formsGauge(d.roster), signalsGauge(balance.Signals())); err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	d.budget = retry.NewBudget(d.retryLimits())
-	d.roster.OnChange(d.setShares)
+	d.retryBudget = retry.NewBudget(d.retryLimits())
+	d.roster.OnChange(d.updateShares)
 	d.gateway = gateway.New(gateway.Deps{
 		Protocol: a.Protocol, Directory: d.directory, Balancer: balance,
-		Budget: d.budget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
-		Hall: s.Box.Hall, Shutdown: d.stop.Load, RegionOf: d.regionOf,
+		Budget: d.retryBudget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
+		Hall: s.Box.Hall, Shutdown: d.shutdown.Load, RegionOf: d.regionOf,
 		Limits: gateway.Limits{
 			MaxRequests:       int64(s.Limits.MemoryMB) * requestsPerMB,
-			MaxHeldBytes:      int64(s.Limits.MemoryMB<<20) / heldShare,
+			MaxHeldBytes:      int64(s.Limits.MemoryMB<<20) / heldMemoryDivisor,
 			LostServerGrace:   s.Bounds.Drain / 2,
 			MaxDenialTableAge: s.Bounds.Apply,
 		},
@@ -184,75 +183,75 @@
 	return d, nil
 }
 
-// checkStore reads the roster, which tells the store's revision, and brings the
-// directory up to it.
+// checkStore reads the roster together with the store's revision and verifies that the directory
+// is up to date with that revision.
 func (d *Daemon) checkStore(ctx context.Context) (directory.Check, bool) {
-	asked := clock.Now()
+	start := clock.Now()
 	revision, err := d.roster.Check(ctx)
 	if ctx.Err() != nil {
 		return directory.Check{}, false
 	}
-	if failed := err != nil; d.checkFailed.Swap(failed) != failed {
-		d.logStore(revision, err)
+	if failed := err != nil; d.storeCheckFailed.Swap(failed) != failed {
+		d.logStoreState(revision, err)
 	}
 	if err != nil {
 		return directory.Check{}, false
 	}
 	d.sweeper.Sweep(ctx)
 	d.readEvacuations(ctx)
-	return d.directory.Verify(ctx, revision, asked, d.timing())
+	return d.directory.Verify(ctx, revision, start, d.directoryTiming())
 }
 
-func (d *Daemon) logStore(revision uint64, err error) {
+func (d *Daemon) logStoreState(revision uint64, err error) {
 	if err != nil {
-		_ = level.Warn(d.logger).Log("msg", "store lost", "err", err, "outcome", "the belief stays as it is")
+		_ = level.Warn(d.logger).Log("msg", "store lost", "err", err, "outcome", "cached routing data stays in use")
 		return
 	}
 	_ = level.Info(d.logger).Log("msg", "store regained", "revision", revision)
 }
 
 const (
-	// evacuationsShare is the part of the time that an evacuation may take to be in force after
-	// which the store is asked again which halls are evacuated, with the next check.
-	evacuationsShare = 0.35
-	// evacuationsRare is how often it is asked where no evacuation is expected.
-	evacuationsRare = 20 * time.Second
+	// evacuationsRefreshShare is the maximum age of the list of evacuated halls as a fraction of
+	// BoundSettings.Evacuate. An older list is read again with the next check of the store.
+	evacuationsRefreshShare = 0.35
+	// defaultEvacuationsRefresh is the maximum age if BoundSettings.Evacuate is zero.
+	defaultEvacuationsRefresh = 20 * time.Second
 )
 
-// readEvacuations asks the store which halls are evacuated, if that is not known well enough.
+// readEvacuations reads the list of evacuated halls from the store if the known one is too old.
 func (d *Daemon) readEvacuations(ctx context.Context) {
-	asked := clock.Now()
-	if asked.Sub(d.directory.EvacuationsRead()) < d.evacuationsAge() {
+	start := clock.Now()
+	if start.Sub(d.directory.EvacuationsRead()) < d.maxEvacuationsAge() {
 		return
 	}
 	ctx, cancel := stall.WithLimits(ctx, storeLimits)
 	defer cancel()
-	if err := d.directory.ReadEvacuations(ctx, d.source, asked); err != nil {
-		_ = level.Info(d.logger).Log("msg", "evacuations not read", "err", err, "outcome", "asked again with the next check")
+	if err := d.directory.ReadEvacuations(ctx, d.source, start); err != nil {
+		_ = level.Info(d.logger).Log("msg", "failed to read evacuations", "err", err, "outcome", "retried with the next check")
 	}
 }
 
-// evacuationsAge is how old what is known of evacuations may grow before the store is asked again.
-func (d *Daemon) evacuationsAge() time.Duration {
+// maxEvacuationsAge returns the age at which the list of evacuated halls is read again.
+func (d *Daemon) maxEvacuationsAge() time.Duration {
 	bound := d.settings.Load().Bounds.Evacuate
 	if bound == 0 {
-		return evacuationsRare
+		return defaultEvacuationsRefresh
 	}
-	return time.Duration(evacuationsShare * float64(bound))
+	return time.Duration(evacuationsRefreshShare * float64(bound))
 }
 
-// checkTiming lets a dead watch be found out, and the change that it missed be read,
-// within the time that a change may take to be in force.
+// checkTiming makes checks frequent enough to detect a dead watch and read the changes that it
+// missed within the time allowed for a change to take effect.
 func (d *Daemon) checkTiming() announce.Timing {
-	apply := d.settings.Load().Bounds.soonest()
+	apply := d.settings.Load().Bounds.strictest()
 	return announce.Timing{Every: apply * 45 / 100, Spread: apply * 20 / 100}
 }
 
-// timing bounds the age of the belief, together with checkTiming.
-func (d *Daemon) timing() directory.Timing {
+// directoryTiming bounds the staleness of the directory, together with checkTiming.
+func (d *Daemon) directoryTiming() directory.Timing {
 	apply := d.settings.Load().Bounds.Apply
 	return directory.Timing{
-		Wait:        watchWait,
+		Wait:        watchTimeout,
 		Answer:      storeLimits.FirstByte,
 		AnswerMost:  storeLimits.Total,
 		Lag:         apply * 50 / 100,
@@ -263,52 +262,51 @@
 }
 
 const (
-	// watchWait is how long a watch waits. Checks find dead ones out long before.
-	watchWait = 20 * time.Second
+	// watchTimeout is the duration of a long poll. Checks detect dead watches earlier.
+	watchTimeout = 20 * time.Second
 )
 
-// storeLimits bound a call to the store. A calm store begins to answer within some
-// milliseconds. The most only ends what would trickle for ever: where many boxes read a
-// large table at once, each answer takes as long as the store's link needs for all, and to
-// begin anew would make it longer still.
+// storeLimits are the timeouts of a call to the store. Total is long, since many boxes that read
+// a large table at once share the store's link, and restarting a slow transfer adds to the load.
 var storeLimits = stall.Limits{FirstByte: 700 * time.Millisecond, Idle: 700 * time.Millisecond, Total: 5 * time.Minute}
 
-// setShares gives this box its parts of what the fleet may do.
-func (d *Daemon) setShares() {
-	d.budget.SetLimits(d.retryLimits())
-	d.calls.rates.SetBudget(d.settings.Load().CallBudget.Share(d.roster.Count()))
-	d.duties.orderChanged()
+// updateShares recomputes this box's share of the fleet-wide limits after a change of the roster
+// or the settings.
+func (d *Daemon) updateShares() {
+	d.retryBudget.SetLimits(d.retryLimits())
+	d.storeCalls.limiter.SetBudget(d.settings.Load().CallBudget.Share(d.roster.Count()))
+	d.duties.rosterChanged()
 	d.limiter.SetBoxes(d.roster.Names(), clock.Now())
 }
 
-// retryLimits gives this box its part of the fleet's slack.
+// retryLimits returns the limits of the retry budget, with this box's share of the slack.
 func (d *Daemon) retryLimits() retry.Limits {
 	b := d.settings.Load().Bounds
-	boxes := max(d.roster.Count(), fleetLeast)
+	boxes := max(d.roster.Count(), minFleetSize)
 	return retry.Limits{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack / float64(boxes)}
 }
 
-func (d *Daemon) open(l ListenSettings) error {
+func (d *Daemon) listen(l ListenSettings) error {
 	for _, p := range []struct {
 		key, address string
-		to           *net.Listener
-	}{{"caller", l.Caller, &d.callerPort}, {"ready", l.Ready, &d.readyPort}, {"metrics", l.Metrics, &d.metricsPort}} {
+		dst          *net.Listener
+	}{{"caller", l.Caller, &d.callerListener}, {"ready", l.Ready, &d.readyListener}, {"metrics", l.Metrics, &d.metricsListener}} {
 		listener, err := net.Listen("tcp", p.address)
 		if err != nil {
-			d.closePorts()
-			return oops.In("routerd").With("key", p.key).Wrapf(err, "port [listen] %s = %s can't be opened: free it or name another", p.key, p.address)
+			d.closeListeners()
+			return oops.In("routerd").With("key", p.key).Wrapf(err, "port [listen] %s = %s can't be opened: free the port or set another address", p.key, p.address)
 		}
-		*p.to = listener
+		*p.dst = listener
 	}
-	if err := d.openPeer(l.Peer); err != nil {
-		d.closePorts()
-		return oops.In("routerd").With("key", "peer").Wrapf(err, "port [listen] peer = %s can't be opened by UDP and TCP: free it or name another", l.Peer)
+	if err := d.listenPeer(l.Peer); err != nil {
+		d.closeListeners()
+		return oops.In("routerd").With("key", "peer").Wrapf(err, "port [listen] peer = %s can't be opened for UDP and TCP: free the port or set another address", l.Peer)
 	}
 	return nil
 }
 
-func (d *Daemon) closePorts() {
-	for _, l := range []net.Listener{d.callerPort, d.readyPort, d.metricsPort, d.snapshotPort} {
+func (d *Daemon) closeListeners() {
+	for _, l := range []net.Listener{d.callerListener, d.readyListener, d.metricsListener, d.snapshotListener} {
 		if l != nil {
 			l.Close()
 		}
@@ -316,81 +314,81 @@
 }
 
 func (d *Daemon) serveHTTP() {
-	d.callers = &http.Server{
-		Handler: d.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerMost,
+	d.callerServer = &http.Server{
+		Handler: d.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 	}
-	d.connections = newConnections(d.callers)
-	questions := httprouter.New()
-	questions.GET(readiness.Path, readiness.Handler(d.Ready))
-	d.ready = &http.Server{Handler: questions, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	figures := httprouter.New()
-	figures.Handler(http.MethodGet, "/metrics", d.metrics.Handler())
-	figures.GET(pathStatus, d.handleStatus)
-	figures.GET(pathHeld, d.handleHeld)
-	figures.POST(pathRelease, d.handleRelease)
-	d.metricsServer = &http.Server{Handler: figures, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	d.conns = newConnTracker(d.callerServer)
+	readyRouter := httprouter.New()
+	readyRouter.GET(readiness.Path, readiness.Handler(d.Ready))
+	d.readyServer = &http.Server{Handler: readyRouter, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	metricsRouter := httprouter.New()
+	metricsRouter.Handler(http.MethodGet, "/metrics", d.metrics.Handler())
+	metricsRouter.GET(pathStatus, d.handleStatus)
+	metricsRouter.GET(pathHeld, d.handleHeld)
+	metricsRouter.POST(pathRelease, d.handleRelease)
+	d.metricsServer = &http.Server{Handler: metricsRouter, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// Start begins to serve.
+// Start starts the servers and background goroutines.
 func (d *Daemon) Start() {
 	s := d.settings.Load()
 	for _, f := range []func(){
-		d.follow,
+		d.joinAndSync,
 		func() { d.sharer.Run(d.ctx) },
 		func() { d.duties.run(d.ctx) },
 		func() { d.quarantine.Run(d.ctx) },
-		func() { d.watchAway(d.ctx) },
+		func() { d.logSuspensions(d.ctx) },
 		d.peers.Listen,
 		func() { d.upstream.Run(d.ctx) },
 		func() {
-			d.report("caller", d.callers.Serve(netutil.LimitListener(d.callerPort, callersMost(s.Limits))))
+			d.logServeError("caller", d.callerServer.Serve(netutil.LimitListener(d.callerListener, maxCallerConns(s.Limits))))
 		},
-		func() { d.report("ready", d.ready.Serve(d.readyPort)) },
-		func() { d.report("metrics", d.metricsServer.Serve(d.metricsPort)) },
-		func() { d.report("peer", d.snapshotServer.Serve(d.snapshotPort)) },
+		func() { d.logServeError("ready", d.readyServer.Serve(d.readyListener)) },
+		func() { d.logServeError("metrics", d.metricsServer.Serve(d.metricsListener)) },
+		func() { d.logServeError("peer", d.snapshotServer.Serve(d.snapshotListener)) },
 	} {
 		d.wg.Go(f)
 	}
 	_ = level.Info(d.logger).Log("msg", "started", "box", s.Box.ID, "hall", s.Box.Hall, "caller", d.CallerAddress(), "store", s.Store)
 }
 
-// regionOf is the region of a hall, "" if the settings name none.
+// regionOf returns the region of a hall, or "" if the settings assign none.
 func (d *Daemon) regionOf(hall string) string { return d.settings.Load().Regions[hall] }
 
-// callersMost bounds the callers' connections by the descriptors.
-func callersMost(l LimitSettings) int {
-	return max(1, int(callerShare*float64(l.Descriptors-reservedDescriptors)))
+// maxCallerConns returns the limit on connections of callers.
+func maxCallerConns(l LimitSettings) int {
+	return max(1, int(callerDescriptorShare*float64(l.Descriptors-reservedDescriptors)))
 }
 
-func (d *Daemon) report(port string, err error) {
-	stopping := d.stop.Load() != nil && errors.Is(err, net.ErrClosed)
+func (d *Daemon) logServeError(port string, err error) {
+	stopping := d.shutdown.Load() != nil && errors.Is(err, net.ErrClosed)
 	if d.ctx.Err() == nil && !stopping && !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Error(d.logger).Log("msg", "port closed", "port", port, "err", err)
+		_ = level.Error(d.logger).Log("msg", "server stopped unexpectedly", "port", port, "err", err)
 	}
 }
 
-// CallerAddress is the address of the callers' port.
-func (d *Daemon) CallerAddress() string { return d.callerPort.Addr().String() }
+// CallerAddress returns the address at which callers connect.
+func (d *Daemon) CallerAddress() string { return d.callerListener.Addr().String() }
 
-// ReadyAddress is the address of the readiness port.
-func (d *Daemon) ReadyAddress() string { return d.readyPort.Addr().String() }
+// ReadyAddress returns the address of the readiness endpoint.
+func (d *Daemon) ReadyAddress() string { return d.readyListener.Addr().String() }
 
-// PeerAddress is where other boxes are heard.
-func (d *Daemon) PeerAddress() string { return d.peerPort.LocalAddr().String() }
+// PeerAddress returns the address for datagrams and snapshot requests of other boxes.
+func (d *Daemon) PeerAddress() string { return d.peerConn.LocalAddr().String() }
 
-// MetricsAddress is the address of the metrics port.
-func (d *Daemon) MetricsAddress() string { return d.metricsPort.Addr().String() }
+// MetricsAddress returns the address of the metrics endpoint.
+func (d *Daemon) MetricsAddress() string { return d.metricsListener.Addr().String() }
 
-// Ready tells whether the box should get callers.
-func (d *Daemon) Ready() bool { return d.stop.Load() == nil && d.directory.Loaded() }
+// Ready reports whether the box should receive requests.
+func (d *Daemon) Ready() bool { return d.shutdown.Load() == nil && d.directory.Loaded() }
 
-// Reload takes changed settings in. Ports and the box's name stay as they are until
-// the next start.
+// Reload applies changed settings. Changes to the box, the listen addresses and the limits take
+// effect only after a restart.
 func (d *Daemon) Reload(s Settings) {
 	old := *d.settings.Load()
 	s.Box, s.Listen, s.Limits = old.Box, old.Listen, old.Limits
 	d.settings.Store(&s)
-	d.setShares()
+	d.updateShares()
 	_ = level.Info(d.logger).Log("msg", "settings reloaded", "store", s.Store, "grace", s.Bounds.Grace, "retry_ratio", s.Bounds.RetryRatio, "retry_slack", s.Bounds.RetrySlack)
 }
--- a/pkg/routerd/doc.go
+++ b/pkg/routerd/doc.go
@@ -1,3 +1,3 @@
-// Package routerd puts the parts of a routing box together: it is the daemon of
-// `headhill route`.
+// Package routerd implements the daemon of `headhill route`, which wires up the components of a
+// routing box.
 package routerd
--- a/pkg/routerd/fleetduties.go
+++ b/pkg/routerd/fleetduties.go
@@ -22,15 +22,15 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// collectors is how many boxes collect what all have counted: two may die at once with one
-// that holds the lease without a loss.
-const collectors = 3
+// collectorCount is the number of boxes to which each box sends its usage counts, besides the lease
+// holder. It allows two of them to fail together with the holder without loss of counts.
+const collectorCount = 3
 
-// handOverTime bounds the handing over of the lease at a planned stop.
-const handOverTime = 500 * time.Millisecond
+// handOverTimeout bounds the release of the lease at a planned stop.
+const handOverTimeout = 500 * time.Millisecond
 
-// fleetDuties is what a box does for the duties that the fleet has once. Where the settings
-// name none it does nothing.
+// fleetDuties runs the duties that one box at a time, the lease holder, performs for the whole
+// fleet. It does nothing if the settings enable none.
 type fleetDuties struct {
 	settings  DutySettings
 	roster    *roster.Roster
@@ -38,98 +38,98 @@
 	balancer  *balancer.Balancer
 	logger    log.Logger
 
-	clock     *fleetclock.Clock
-	counter   *metering.Counter
-	collector *metering.Collector
-	teller    *metering.Publisher
-	keeper    *lease.Manager
-	duties    *duties.Runner
-	reporter  *duties.Reporter
-	scaler    *duties.Scaler
+	clock        *fleetclock.Clock
+	counter      *metering.Counter
+	collector    *metering.Collector
+	publisher    *metering.Publisher
+	leaseManager *lease.Manager
+	duties       *duties.Runner
+	reporter     *duties.Reporter
+	scaler       *duties.Scaler
 
 	mu sync.Mutex
-	// names are the organisations of the table of a version, and of those before.
-	names        map[metering.OrganisationHash]string
-	namesVersion uint64
+	// nameByHash holds the organisations of all tables seen up to namesTableVersion.
+	nameByHash        map[metering.OrganisationHash]string
+	namesTableVersion uint64
 }
 
-// newFleetDuties puts the parts together. Nothing runs before run.
+// newFleetDuties creates the components. No goroutine runs before run.
 func newFleetDuties(d *Daemon, a Adapter, access StoreAccess, balance *balancer.Balancer, logger log.Logger) *fleetDuties {
 	s := d.settings.Load()
 	f := &fleetDuties{
 		settings: s.Duties, roster: d.roster, directory: d.directory, balancer: balance, logger: logger,
-		clock: fleetclock.New(), collector: metering.NewCollector(), names: make(map[metering.OrganisationHash]string),
+		clock: fleetclock.New(), collector: metering.NewCollector(), nameByHash: make(map[metering.OrganisationHash]string),
 	}
 	f.counter = metering.NewCounter(s.Duties.Window, f.clock.Now)
 	for _, duty := range s.Duties.Unknown() {
-		_ = level.Warn(logger).Log("msg", "duty not known", "duty", duty, "outcome", "passed over; a newer version may know it")
+		_ = level.Warn(logger).Log("msg", "unknown duty", "duty", duty, "outcome", "ignored; a newer version may support it")
 	}
-	if !f.any() {
+	if !f.hasDuties() {
 		return f
 	}
-	f.teller = metering.NewPublisher(metering.PublisherDeps{
+	f.publisher = metering.NewPublisher(metering.PublisherDeps{
 		Box: s.Box.ID, Incarnation: d.roster.Incarnation(), Port: d.peers, Counter: f.counter, Collector: f.collector, Clock: f.clock,
-		CollectorAddrs: f.collecting, Logger: logger,
+		CollectorAddrs: f.collectorAddrs, Logger: logger,
 	})
-	f.keeper = lease.NewManager(lease.Deps{
+	f.leaseManager = lease.NewManager(lease.Deps{
 		Box: s.Box.ID, Incarnation: d.roster.Incarnation(), Timing: lease.TimingFor(s.Duties.Lease),
 		Store: a.Lease(access), Port: d.peers, Peers: d.roster.Peers, Rank: d.roster.Rank, NoPeers: func() bool { return d.roster.Count() == 1 },
-		State: f.state, OnAcquired: f.taken, Announcement: f.told, OnAnnouncement: f.onTold, OnHolderChange: f.onHolder, Logger: logger,
+		State: f.state, OnAcquired: f.restoreState, Announcement: f.clockAnnouncement, OnAnnouncement: f.onClockAnnouncement, OnHolderChange: f.onHolderChange, Logger: logger,
 	})
 	if s.Duties.Has(DutyMetering) {
-		f.reporter = duties.NewReporter(duties.ReporterDeps{WindowLength: s.Duties.Window, Clock: f.clock.Now, Collector: f.collector, OrganisationNames: f.organisations})
+		f.reporter = duties.NewReporter(duties.ReporterDeps{WindowLength: s.Duties.Window, Clock: f.clock.Now, Collector: f.collector, OrganisationNames: f.organisationNames})
 	}
 	if s.Duties.Has(DutyAutoscale) {
-		f.scaler = duties.NewScaler(duties.ScalerDeps{Services: f.services, Policy: autoscale.ExpectedLoss{WorkValue: s.Duties.WorkValue}})
+		f.scaler = duties.NewScaler(duties.ScalerDeps{Services: f.scalableServices, Policy: autoscale.ExpectedLoss{WorkValue: s.Duties.WorkValue}})
 	}
 	address := func() string { return d.settings.Load().Duties.Address }
-	f.duties = duties.New(duties.Deps{Box: s.Box.ID, Lease: f.keeper, Cloud: a.Cloud(address), Reporter: f.reporter, Scaler: f.scaler, Logger: logger})
+	f.duties = duties.New(duties.Deps{Box: s.Box.ID, Lease: f.leaseManager, Cloud: a.Cloud(address), Reporter: f.reporter, Scaler: f.scaler, Logger: logger})
 	return f
 }
 
-// any tells whether the fleet has duties that this program knows.
-func (f *fleetDuties) any() bool {
+// hasDuties reports whether any duty known to this build is enabled.
+func (f *fleetDuties) hasDuties() bool {
 	return f.settings.Has(DutyMetering) || f.settings.Has(DutyAutoscale)
 }
 
-// run does the duties while this box holds the lease, until ctx ends.
+// run contends for the lease and runs the duties while holding it, until ctx is done.
 func (f *fleetDuties) run(ctx context.Context) {
-	if !f.any() {
+	if !f.hasDuties() {
 		return
 	}
 	var wg conc.WaitGroup
-	wg.Go(func() { f.teller.Run(ctx) })
-	wg.Go(func() { f.keeper.Run(ctx) })
+	wg.Go(func() { f.publisher.Run(ctx) })
+	wg.Go(func() { f.leaseManager.Run(ctx) })
 	wg.Go(func() { f.duties.Run(ctx) })
 	wg.Wait()
 }
 
-// handOver gives the lease up, as the box stops.
+// handOver releases the lease before a planned stop.
 func (f *fleetDuties) handOver() {
-	if !f.any() {
+	if !f.hasDuties() {
 		return
 	}
-	if !f.keeper.Stop() {
+	if !f.leaseManager.Stop() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	if f.duties.AwaitIdle(ctx) {
-		f.keeper.Release(ctx)
+		f.leaseManager.Release(ctx)
 	}
 }
 
-// orderChanged tells that the boxes, or their order, may have changed.
-func (f *fleetDuties) orderChanged() {
-	if f.any() {
-		f.keeper.Wake()
+// rosterChanged must be called after a change of the boxes or their order.
+func (f *fleetDuties) rosterChanged() {
+	if f.hasDuties() {
+		f.leaseManager.Wake()
 	}
 }
 
-// flush tells what was counted, as the box ends.
+// flush publishes the counts that are left before the box stops.
 func (f *fleetDuties) flush() {
-	if f.any() {
-		f.teller.Flush()
+	if f.hasDuties() {
+		f.publisher.Flush()
 	}
 }
 
@@ -140,53 +140,57 @@
 	}
 }
 
-// state and taken hand on what lasts with the lease.
+// state returns the duties' state that is stored with the lease.
 func (f *fleetDuties) state() []byte { return f.duties.State() }
 
-func (f *fleetDuties) taken(state []byte) { f.duties.Restore(state) }
+// restoreState restores the state stored by the previous holder.
+func (f *fleetDuties) restoreState(state []byte) { f.duties.Restore(state) }
 
-// told is the estimate of true time, which the holder tells the others.
-func (f *fleetDuties) told() []byte {
+// clockAnnouncement encodes the holder's clock estimate for the other boxes.
+func (f *fleetDuties) clockAnnouncement() []byte {
 	return binary.BigEndian.AppendUint64(nil, uint64(f.clock.EstimateMillis(clock.Now())))
 }
 
-func (f *fleetDuties) onTold(told []byte, received time.Time) {
-	if len(told) != 8 {
-		_ = level.Debug(f.logger).Log("msg", "time of the holder dropped", "bytes", len(told))
+// onClockAnnouncement applies the clock estimate announced by the holder.
+func (f *fleetDuties) onClockAnnouncement(announcement []byte, received time.Time) {
+	if len(announcement) != 8 {
+		_ = level.Debug(f.logger).Log("msg", "malformed clock announcement dropped", "bytes", len(announcement))
 		return
 	}
-	f.clock.SetCollectorEstimate(int64(binary.BigEndian.Uint64(told)), received)
+	f.clock.SetCollectorEstimate(int64(binary.BigEndian.Uint64(announcement)), received)
 }
 
-// onHolder has a new holder told what was counted, if it did not collect until now.
-func (f *fleetDuties) onHolder(string) { f.teller.Wake() }
+// onHolderChange publishes counts to a new holder, which may not have been a collector.
+func (f *fleetDuties) onHolderChange(string) { f.publisher.Wake() }
 
-// collecting are the boxes that collect: the first few in order, and the holder.
-func (f *fleetDuties) collecting() []*net.UDPAddr {
-	holder := f.keeper.Holder()
-	var list []*net.UDPAddr
+// collectorAddrs returns the addresses of the collectors: the first boxes in roster order and the
+// lease holder.
+func (f *fleetDuties) collectorAddrs() []*net.UDPAddr {
+	holder := f.leaseManager.Holder()
+	var addrs []*net.UDPAddr
 	for i, e := range f.roster.Ordered() {
-		if e.Box == f.teller.Box || i >= collectors && e.Box != holder {
+		if e.Box == f.publisher.Box || i >= collectorCount && e.Box != holder {
 			continue
 		}
 		if a := e.Address(); a != nil {
-			list = append(list, a)
+			addrs = append(addrs, a)
 		}
 	}
-	return list
+	return addrs
 }
 
-// organisations are all that the table has or had, by their keys.
-func (f *fleetDuties) organisations() map[metering.OrganisationHash]string {
+// organisationNames returns the names of all organisations in the current and earlier tables, by
+// hash.
+func (f *fleetDuties) organisationNames() map[metering.OrganisationHash]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.directory.View().Table
-	if t == nil || t.Version == f.namesVersion {
-		return f.names
+	if t == nil || t.Version == f.namesTableVersion {
+		return f.nameByHash
 	}
 	for _, o := range t.Organisations() {
-		f.names[metering.HashOrganisation(o.Name)] = o.Name
+		f.nameByHash[metering.HashOrganisation(o.Name)] = o.Name
 	}
-	f.namesVersion = t.Version
-	return f.names
+	f.namesTableVersion = t.Version
+	return f.nameByHash
 }
--- a/pkg/routerd/fleetdutiesgauges.go
+++ b/pkg/routerd/fleetdutiesgauges.go
@@ -7,9 +7,9 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// gauges show who holds the lease, what was reported, and the servers by hall and kind.
+// gauges returns gauges for the lease, reported usage windows and autoscaled servers.
 func (f *fleetDuties) gauges() []telemetry.Gauge {
-	if !f.any() {
+	if !f.hasDuties() {
 		return nil
 	}
 	return []telemetry.Gauge{
@@ -20,7 +20,7 @@
 }
 
 func (f *fleetDuties) leaseGauge() map[string]int64 {
-	s := f.keeper.Status()
+	s := f.leaseManager.Status()
 	held := int64(0)
 	if s.Held {
 		held = 1
@@ -45,8 +45,8 @@
 		return values
 	}
 	for service, s := range f.scaler.Status() {
-		for state, book := range map[string]autoscale.HallCounts{"wanted": s.Targets, "ready": s.Ready, "leaving": s.Leaving} {
-			for hall, n := range book {
+		for state, counts := range map[string]autoscale.HallCounts{"wanted": s.Targets, "ready": s.Ready, "leaving": s.Leaving} {
+			for hall, n := range counts {
 				for _, k := range []autoscale.Kind{autoscale.OnDemand, autoscale.Spot} {
 					values[fmt.Sprintf("%s %s %s %s", service, hall, k, state)] = int64(n[k])
 				}
--- a/pkg/routerd/gauges.go
+++ b/pkg/routerd/gauges.go
@@ -11,11 +11,11 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// inForce is the one value of the gauge that shows the table's version.
-const inForce = "in force"
+// inForceLabel is the only attribute value of headhill_table_version.
+const inForceLabel = "in force"
 
-// beliefGauges show how much a box knows of the store: what is old, and what can't be read.
-func beliefGauges(d *directory.Directory) []telemetry.Gauge {
+// directoryGauges returns gauges for the age and revision of each part of the directory.
+func directoryGauges(d *directory.Directory) []telemetry.Gauge {
 	byPart := func(name, help string, value func(directory.State) int64) telemetry.Gauge {
 		return telemetry.Gauge{Name: name, Help: help, Attribute: "part", Observe: func() map[string]int64 {
 			values := make(map[string]int64)
@@ -36,7 +36,7 @@
 	}
 }
 
-// heldGauge shows how many bytes are held for callers.
+// heldGauge returns the gauge for buffered request and answer bytes.
 func heldGauge(g *gateway.Gateway) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_held_bytes", Help: "Bytes of requests and answers held for callers.", Attribute: "of",
@@ -44,7 +44,8 @@
 	}
 }
 
-// formsGauge shows the level of the forms that this box reads, and the lowest of all boxes.
+// formsGauge returns the gauge for the message format level of this box and the lowest of all
+// boxes.
 func formsGauge(r *roster.Roster) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_forms_level", Help: "Level of the forms that boxes read.", Attribute: "boxes",
@@ -54,16 +55,17 @@
 	}
 }
 
-// tableVersion is empty until a table is known.
+// tableVersion returns no value until a table is loaded.
 func tableVersion(d *directory.Directory) map[string]int64 {
 	t := d.View().Table
 	if t == nil {
 		return nil
 	}
-	return map[string]int64{inForce: int64(t.Version)}
+	return map[string]int64{inForceLabel: int64(t.Version)}
 }
 
-// quarantineGauge shows how many requests are suspected of crashing servers, and held for it.
+// quarantineGauge returns the gauge for requests suspected of crashing servers and those held for
+// it.
 func quarantineGauge(q *quarantine.Quarantine) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_quarantine_requests", Help: "Requests under which servers ended: suspected, or held.",
@@ -71,7 +73,7 @@
 	}
 }
 
-// signalsGauge shows how many servers signal what.
+// signalsGauge returns the gauge for servers by the signal in their answers.
 func signalsGauge(t *signals.Tracker) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_server_signals", Help: "Servers by what they signal in their answers.",
--- a/pkg/routerd/held.go
+++ b/pkg/routerd/held.go
@@ -12,21 +12,21 @@
 	"headhill.example/headhill/pkg/quarantine"
 )
 
-// Paths at which operators see and release held requests, at the metrics address.
+// Paths on the metrics server at which operators list and release held requests.
 const (
 	pathHeld    = "/held"
 	pathRelease = "/held/:request/release"
 )
 
-// handleHeld lists the requests that are held.
+// handleHeld lists the held requests.
 func (d *Daemon) handleHeld(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(d.quarantine.Held(clock.Now())); err != nil {
-		_ = level.Info(d.logger).Log("msg", "held requests not told", "err", err)
+		_ = level.Info(d.logger).Log("msg", "failed to write held requests", "err", err)
 	}
 }
 
-// handleRelease releases one.
+// handleRelease releases one held request.
 func (d *Daemon) handleRelease(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	err := d.quarantine.Release(p.ByName("request"))
 	var unknown *quarantine.UnknownRequestError
--- a/pkg/routerd/join.go
+++ b/pkg/routerd/join.go
@@ -19,42 +19,40 @@
 )
 
 const (
-	// joinSpread bounds the time, drawn by each box, for which one that sees no other waits
-	// for others: where all start at once, a few of them read the store for the rest.
-	joinSpread = time.Second
-	// joinPause is how often such a box looks.
-	joinPause = 150 * time.Millisecond
-	// joinMost is how long a box tries to see others before it asks the store for table and servers
-	// all the same, which it does each time only after it has looked once more. Where hundreds start
-	// at once and read the list of 10,000 servers themselves, the store's link is taken for twenty
-	// seconds.
-	joinMost = 500 * time.Millisecond
-	// snapshotShare is the part of the time that a change may take to be in force for which
-	// a box waits for others to begin to send it. After it the store is asked, over a link
-	// that may need a third of that time for a large table.
-	snapshotShare = 0.15
-	// snapshotsAtOnce bounds the connections on which other boxes ask this one: a hall asks
-	// one box, or a few.
-	snapshotsAtOnce = 512
-	// peerTries is how often a port is tried that is free for both protocols, where any
-	// port will do.
-	peerTries = 8
+	// joinJitter is the upper bound of the random time for which a box that knows no others waits
+	// for them to register, so that after a simultaneous start only a few boxes read the store.
+	joinJitter = time.Second
+	// joinPollInterval is the interval between roster reads during that time.
+	joinPollInterval = 150 * time.Millisecond
+	// joinTimeout is how long a box retries failed roster reads before it goes on without peers and
+	// reads table and servers from the store. Many boxes that do so at once saturate the store's link.
+	joinTimeout = 500 * time.Millisecond
+	// snapshotWaitShare is the timeout for the first byte of a snapshot from another box, as a
+	// fraction of BoundSettings.Apply. The rest of that time must suffice to read a large table from
+	// the store instead.
+	snapshotWaitShare = 0.15
+	// maxSnapshotConns limits the connections of boxes that fetch snapshots, which may be all boxes
+	// of a hall.
+	maxSnapshotConns = 512
+	// peerListenAttempts limits the attempts to find a port that is free for both TCP and UDP if the
+	// settings allow any port.
+	peerListenAttempts = 8
 )
 
-// openPeer opens the port at which other boxes are heard, for datagrams and for questions.
-func (d *Daemon) openPeer(address string) error {
+// listenPeer opens the peer port for datagrams over UDP and snapshot requests over TCP.
+func (d *Daemon) listenPeer(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
-	for range peerTries {
-		if d.snapshotPort, err = net.Listen("tcp", net.JoinHostPort(host, port)); err != nil {
+	for range peerListenAttempts {
+		if d.snapshotListener, err = net.Listen("tcp", net.JoinHostPort(host, port)); err != nil {
 			return err
 		}
-		if d.peerPort, err = net.ListenPacket("udp", d.snapshotPort.Addr().String()); err == nil {
+		if d.peerConn, err = net.ListenPacket("udp", d.snapshotListener.Addr().String()); err == nil {
 			return nil
 		}
-		_ = d.snapshotPort.Close()
+		_ = d.snapshotListener.Close()
 		if port != "0" {
 			return err
 		}
@@ -62,72 +60,71 @@
 	return err
 }
 
-// serveSnapshots lets other boxes ask for what this one knows.
+// serveSnapshots creates the server from which other boxes fetch snapshots.
 func (d *Daemon) serveSnapshots(logger log.Logger) {
 	server := snapshot.NewServer(snapshot.ServerDeps{
 		Directory: d.directory, KnownHost: d.roster.KnownHost, OnStranger: d.checker.LookWhoIsThere, Boxes: d.roster.Copy, Logger: logger,
 	})
-	d.snapshotPort = netutil.LimitListener(d.snapshotPort, snapshotsAtOnce)
+	d.snapshotListener = netutil.LimitListener(d.snapshotListener, maxSnapshotConns)
 	d.snapshotServer = &http.Server{Handler: server.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// follow joins the other boxes, and then keeps the belief up to date until the box ends. When
-// this box checks the store follows from who else is there.
-func (d *Daemon) follow() {
+// joinAndSync joins the fleet and then keeps the directory up to date until the daemon stops. It
+// joins first because the roster determines when this box checks the store.
+func (d *Daemon) joinAndSync() {
 	d.join(d.ctx)
 	var wg conc.WaitGroup
-	// Some of the others are enough to ask for table and list, also while those that know all of
-	// them are away.
+	// Table and servers can be fetched with a partial roster, so don't wait for the full one.
 	wg.Go(func() { d.completeRoster(d.ctx) })
 	wg.Go(func() { d.checker.Run(d.ctx) })
 	wg.Go(func() {
 		d.directory.Follow(d.ctx, directory.Following{
-			Source: d.source, Providers: d.snapshots, Timing: d.timing(), Reader: d.roster.Reader,
+			Source: d.source, Providers: d.snapshots, Timing: d.directoryTiming(), Reader: d.roster.Reader,
 		})
 	})
 	wg.Wait()
 }
 
-// join enters this box in the roster and looks who else is there.
+// join registers this box in the roster and reads the other boxes.
 func (d *Daemon) join(ctx context.Context) {
-	begun := clock.Now()
-	wait := rand.N(joinSpread)
+	start := clock.Now()
+	wait := rand.N(joinJitter)
 	for d.roster.Count() == 1 && ctx.Err() == nil {
-		err := d.lookOnce(ctx)
-		if err != nil && clock.Since(begun) >= joinMost {
-			_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "the store is asked")
+		err := d.refreshRoster(ctx)
+		if err != nil && clock.Since(start) >= joinTimeout {
+			_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "reading table and servers from the store")
 			return
 		}
-		if d.roster.Count() > 1 || err == nil && clock.Since(begun) >= wait {
+		if d.roster.Count() > 1 || err == nil && clock.Since(start) >= wait {
 			break
 		}
-		pause.For(ctx, joinPause)
+		pause.For(ctx, joinPollInterval)
 	}
 	if d.roster.Count() == 1 {
-		d.lookNow(ctx)
+		d.refreshRosterNow(ctx)
 	}
-	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.Reader(), "after", clock.Since(begun))
+	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.Reader(), "after", clock.Since(start))
 }
 
-// lookOnce looks once who else is there.
-func (d *Daemon) lookOnce(ctx context.Context) error {
+// refreshRoster reads a possibly stale roster once.
+func (d *Daemon) refreshRoster(ctx context.Context) error {
 	_, err := d.roster.Look(ctx)
 	return err
 }
 
-// lookNow looks who else is there now: what was seen so far may be from before the others entered.
-func (d *Daemon) lookNow(ctx context.Context) {
+// refreshRosterNow reads the current roster, as a stale one may lack boxes that have just registered.
+func (d *Daemon) refreshRosterNow(ctx context.Context) {
 	if err := d.roster.LookNow(ctx); err != nil {
-		_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "the store is asked")
+		_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "reading table and servers from the store")
 	}
 }
 
-// completeRoster reads all boxes where this one has seen only some: a box that reads for others by
-// what it has seen, as they are now; others ask those. Of 985 boxes that started at once each read
-// all entries for itself, 250 kB, again and again, and the store's link was full.
+// completeRoster obtains the full roster if this box knows only part of it. Boxes that may become
+// readers read it from the store; all others fetch it from another box, so that a simultaneous
+// start of many boxes does not saturate the store's link.
 func (d *Daemon) completeRoster(ctx context.Context) {
-	d.completing.Store(true)
-	defer d.completing.Store(false)
+	d.readingRoster.Store(true)
+	defer d.readingRoster.Store(false)
 	var err error
 	switch {
 	case !d.roster.Whole() && !d.roster.MayRead():
@@ -136,55 +133,54 @@
 		_, err = d.roster.Read(ctx)
 	}
 	if err != nil {
-		_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "seen with the next check")
+		_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "retried with the next check")
 	}
 }
 
-// fetchRoster asks other boxes who is there, and the store if they do not tell. It returns whether
-// that made any box known.
+// fetchRoster fetches the roster from another box, or from the store if that fails. It reports
+// whether new boxes were found.
 func (d *Daemon) fetchRoster(ctx context.Context, first bool) (bool, error) {
 	c, err := d.snapshots.Boxes(ctx, first)
 	if err == nil {
 		return d.roster.Take(c), nil
 	}
-	_ = level.Info(d.logger).Log("msg", "boxes not had from another box", "err", err, "outcome", "the store is asked")
+	_ = level.Info(d.logger).Log("msg", "failed to fetch roster from another box", "err", err, "outcome", "reading it from the store")
 	return d.roster.LookAll(ctx)
 }
 
-// look looks who else is there. It returns whether that made any box known. While all boxes are being
-// read anyway it does nothing: of 985 boxes that start, each hears others that it does not know yet,
-// and looked twice more for that, 125 KB each time, which kept the boxes that read for all from
-// reading for two seconds.
-func (d *Daemon) look(ctx context.Context) bool {
-	if d.completing.Load() {
+// discoverBoxes refreshes the roster and reports whether new boxes were found. It does nothing while
+// completeRoster runs: during a simultaneous start, datagrams from boxes not known yet would make
+// every box read the roster again and delay the readers.
+func (d *Daemon) discoverBoxes(ctx context.Context) bool {
+	if d.readingRoster.Load() {
 		return false
 	}
-	grown, err := d.lookFurther(ctx)
+	found, err := d.refreshOrFetchRoster(ctx)
 	if err != nil {
-		_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "looked for again when one is heard")
+		_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "retried on the next datagram from an unknown box")
 		return false
 	}
-	return grown
+	return found
 }
 
-// lookFurther looks at as many boxes as the store gives at once, or asks another box for all where
-// there are more.
-func (d *Daemon) lookFurther(ctx context.Context) (bool, error) {
+// refreshOrFetchRoster reads the roster from the store if that returns all boxes at once, and
+// otherwise fetches it from another box. It reports whether new boxes were found.
+func (d *Daemon) refreshOrFetchRoster(ctx context.Context) (bool, error) {
 	if !d.roster.Partial() {
-		grown, err := d.roster.Look(ctx)
+		found, err := d.roster.Look(ctx)
 		if err != nil || !d.roster.Partial() {
-			return grown, err
+			return found, err
 		}
 	}
 	return d.fetchRoster(ctx, false)
 }
 
-// providers are the addresses of the boxes that this one asks for what it lacks. While it sees
-// nobody it looks first: a connection to the store may have come up late.
+// providers returns the addresses of the boxes from which this one fetches snapshots. If it knows
+// no other box it refreshes the roster first, as earlier reads may have failed.
 func (d *Daemon) providers() []string {
 	if d.roster.Count() == 1 && !d.roster.Reader() {
-		if err := d.lookOnce(d.ctx); err != nil {
-			_ = level.Info(d.logger).Log("msg", "others not seen", "err", err, "outcome", "the store is asked")
+		if err := d.refreshRoster(d.ctx); err != nil {
+			_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "reading table and servers from the store")
 		}
 	}
 	entries := d.roster.Providers()
@@ -195,6 +191,7 @@
 	return addresses
 }
 
+// snapshotWait returns the timeout for the first byte of a snapshot.
 func (d *Daemon) snapshotWait() time.Duration {
-	return time.Duration(snapshotShare * float64(d.settings.Load().Bounds.Apply))
+	return time.Duration(snapshotWaitShare * float64(d.settings.Load().Bounds.Apply))
 }
--- a/pkg/routerd/join_test.go
+++ b/pkg/routerd/join_test.go
@@ -16,29 +16,30 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// fixedRoster is a roster whose entries are given. Each reading is newer than the last.
-type fixedRoster struct {
+// staticRoster is a roster store with fixed entries. Each read returns a higher revision.
+type staticRoster struct {
 	entries  []roster.Entry
 	revision uint64
 	err      error
 }
 
-func (r *fixedRoster) Enter(context.Context, roster.Entry) error { return r.err }
-func (r *fixedRoster) Leave(context.Context, roster.Entry) error { return r.err }
-func (r *fixedRoster) Some(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
+func (r *staticRoster) Enter(context.Context, roster.Entry) error { return r.err }
+func (r *staticRoster) Leave(context.Context, roster.Entry) error { return r.err }
+func (r *staticRoster) Some(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
 	entries, revision, err := r.Boxes(ctx, stale)
 	return entries, false, revision, err
 }
 
-func (r *fixedRoster) Boxes(context.Context, bool) ([]roster.Entry, uint64, error) {
+func (r *staticRoster) Boxes(context.Context, bool) ([]roster.Entry, uint64, error) {
 	r.revision++
 	return r.entries, r.revision, r.err
 }
 
-// daemonIn returns a daemon that is not started, whose roster has some other boxes.
-func daemonIn(t *testing.T, others int) (*Daemon, *fixedRoster) {
-	r := &fixedRoster{}
-	for i := range others {
+// newTestDaemon returns a daemon that has not been started and whose roster store holds n other
+// boxes.
+func newTestDaemon(t *testing.T, n int) (*Daemon, *staticRoster) {
+	r := &staticRoster{}
+	for i := range n {
 		r.entries = append(r.entries, roster.Entry{Box: fmt.Sprintf("box-%03d", i), Hall: "hall", Peer: fmt.Sprintf("192.0.2.1:%d", i+1)})
 	}
 	s := DefaultSettings()
@@ -52,43 +53,42 @@
 	}, logflags.New(io.Discard, "logfmt", "info", nil))
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		d.closePorts()
+		d.closeListeners()
 		d.Close()
 	})
 	return d, r
 }
 
-// spendable is how many repeats a box may make of requests that were never counted.
-func (d *Daemon) spendable() int {
+// spendRetries uses up the retry budget and returns the number of retries it allowed.
+func (d *Daemon) spendRetries() int {
 	n := 0
-	for d.budget.Spend("calls", time.Now()) {
+	for d.retryBudget.Spend("calls", time.Now()) {
 		n++
 	}
 	return n
 }
 
-// Most boxes never check the store themselves. Their parts of what the fleet may do follow
-// from the boxes that they know all the same.
+// Guards against shares of the fleet-wide retry budget that ignore the roster on boxes that never
+// check the store themselves.
 func TestSharesFollowTheRoster(t *testing.T) {
-	d, r := daemonIn(t, 99)
+	d, r := newTestDaemon(t, 99)
 	d.join(t.Context())
-	assert.Equal(t, 2, d.spendable(), "200 repeats among 100 boxes")
-	grown, _ := daemonIn(t, 0)
-	assert.Equal(t, 200/fleetLeast, grown.spendable())
-	grown, r2 := daemonIn(t, 20)
-	grown.join(t.Context())
-	r2.entries = r.entries
-	assert.True(t, grown.look(t.Context()))
-	assert.Equal(t, 2, grown.spendable())
+	assert.Equal(t, 2, d.spendRetries(), "retry slack of 200 shared by 100 boxes")
+	other, _ := newTestDaemon(t, 0)
+	assert.Equal(t, 200/minFleetSize, other.spendRetries())
+	other, otherRoster := newTestDaemon(t, 20)
+	other.join(t.Context())
+	otherRoster.entries = r.entries
+	assert.True(t, other.discoverBoxes(t.Context()))
+	assert.Equal(t, 2, other.spendRetries())
 }
 
-// A box that can't see the roster goes on at once: the store may still tell table and
-// servers.
-func TestJoinDoesNotWaitForTheRoster(t *testing.T) {
-	d, r := daemonIn(t, 3)
+// Guards against a box that blocks at startup while the roster can't be read.
+func TestJoinDoesNotBlockOnRosterErrors(t *testing.T) {
+	d, r := newTestDaemon(t, 3)
 	r.err = context.DeadlineExceeded
-	begun := time.Now()
+	start := time.Now()
 	d.join(t.Context())
-	assert.Less(t, time.Since(begun), joinSpread)
+	assert.Less(t, time.Since(start), joinJitter)
 	assert.Equal(t, 1, d.roster.Count())
 }
--- a/pkg/routerd/recorder.go
+++ b/pkg/routerd/recorder.go
@@ -5,13 +5,13 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// recorder counts ended requests in the box's metrics.
+// recorder adds finished requests to the metrics.
 type recorder struct{ metrics *telemetry.Metrics }
 
 // Record implements gateway.Recorder.
-func (r recorder) Record(x gateway.Record) {
+func (r recorder) Record(rec gateway.Record) {
 	r.metrics.Record(telemetry.Request{
-		Class: x.Route, Organisation: x.Organisation, Outcome: string(x.Outcome), Status: x.Status,
-		TimeToFirstToken: x.TimeToFirstEvent, Total: x.Duration, Retries: x.Retries,
+		Class: rec.Route, Organisation: rec.Organisation, Outcome: string(rec.Outcome), Status: rec.Status,
+		TimeToFirstToken: rec.TimeToFirstEvent, Total: rec.Duration, Retries: rec.Retries,
 	})
 }
--- a/pkg/routerd/scaledservices.go
+++ b/pkg/routerd/scaledservices.go
@@ -9,8 +9,8 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// services are those whose servers can be ordered, as they are now.
-func (f *fleetDuties) services(now time.Time) []duties.Service {
+// scalableServices returns the services whose servers can be scaled, with their current load.
+func (f *fleetDuties) scalableServices(now time.Time) []duties.Service {
 	v := f.directory.View()
 	if v.Table == nil {
 		return nil
@@ -21,21 +21,21 @@
 			continue
 		}
 		servers := v.Listed(s.Name)
-		scaled, limited := f.scaledServers(servers, now)
+		scaled, limited := f.autoscaleServers(servers, now)
 		list = append(list, duties.Service{
-			Name: s.Name, Offer: offerOf(s.Scaling), Servers: scaled, Load: loadOf(s, f.balancer.Workload(s.Name, servers, now), len(servers), limited),
+			Name: s.Name, Offer: offerFor(s.Scaling), Servers: scaled, Load: loadFor(s, f.balancer.Workload(s.Name, servers, now), len(servers), limited),
 		})
 	}
 	return list
 }
 
-func offerOf(s *routing.Scaling) autoscale.Offer {
+func offerFor(s *routing.Scaling) autoscale.Offer {
 	return autoscale.Offer{MinServers: s.MinServers, MaxServers: s.MaxServers, Boot: s.Boot, SpotPrice: s.SpotPrice, Prices: s.Prices}
 }
 
-// scaledServers are a service's servers as the planner counts them, and how many of those that stay are
-// limited. A server may signal that it leaves before its entry says so.
-func (f *fleetDuties) scaledServers(servers []routing.Server, now time.Time) (list []autoscale.Server, limited int) {
+// autoscaleServers converts the servers of a service for the autoscaler and counts the rate limited
+// ones that are not leaving. A server may signal that it is leaving before its store entry does.
+func (f *fleetDuties) autoscaleServers(servers []routing.Server, now time.Time) (list []autoscale.Server, limited int) {
 	for i := range servers {
 		s := &servers[i]
 		state := f.balancer.SignalsOf(s, now)
@@ -52,9 +52,9 @@
 	return list, limited
 }
 
-// loadOf is how many servers would be busy all the time: with prefills, or with places taken,
-// whichever are more. Limited ones are as good as busy.
-func loadOf(s routing.Service, w balancer.Workload, servers, limited int) autoscale.Load {
+// loadFor expresses the load of a service as the number of fully busy servers, by prefill work or
+// by occupied slots, whichever is higher. Rate limited servers count as busy.
+func loadFor(s routing.Service, w balancer.Workload, servers, limited int) autoscale.Load {
 	if servers == 0 || w.Slots == 0 {
 		return autoscale.Load{}
 	}
--- a/pkg/routerd/settings.go
+++ b/pkg/routerd/settings.go
@@ -9,80 +9,80 @@
 	"headhill.example/headhill/pkg/logflags"
 )
 
-// Settings are those of one routing box.
+// Settings holds the settings of a routing box.
 type Settings struct {
 	Box    BoxSettings
 	Listen ListenSettings
 	// Store is the address of the store that holds routes and servers.
 	Store string
-	// CallBudget are the calls a second that the store takes from all boxes together.
+	// CallBudget limits the calls to the store per second, summed over all boxes.
 	CallBudget callrate.Budget
 	Limits     LimitSettings
 	Bounds     BoundSettings
 	Duties     DutySettings
-	// Regions are those of the halls, by hall. One that is not named has none, so that no request
-	// that is bound to regions is served there.
+	// Regions maps halls to regions. A hall that is not listed has no region, and serves no request
+	// that is restricted to regions.
 	Regions map[string]string
 	Log     logflags.Settings
 }
 
-// BoxSettings say which box this is and where it stands.
+// BoxSettings identifies the box and its location.
 type BoxSettings struct{ ID, Hall, Region string }
 
-// ListenSettings are the addresses of the ports.
+// ListenSettings holds the listen addresses.
 type ListenSettings struct {
 	Caller, Ready, Metrics string
-	// Peer is where datagrams of the other boxes arrive.
+	// Peer is the address for datagrams and snapshot requests of other boxes.
 	Peer string
 }
 
-// LimitSettings bound what the process uses.
+// LimitSettings bounds the resources of the process.
 type LimitSettings struct {
-	// MemoryMB is the memory that the process may use, in MiB.
+	// MemoryMB is the memory limit in MiB.
 	MemoryMB int
-	// Descriptors bounds the open files.
+	// Descriptors is the limit on file descriptors.
 	Descriptors int
-	// LinkMbps is the speed of the box's link, in Mbit/s; zero if it is not known.
+	// LinkMbps is the bandwidth of the box's network link in Mbit/s, zero if unknown.
 	LinkMbps float64
 }
 
-// BoundSettings are the operators' bounds on the fleet.
+// BoundSettings holds the operators' limits for the fleet.
 type BoundSettings struct {
-	// Drain is how long after it says so a leaving server may still get work.
+	// Drain is how long a server may still receive requests after it announces that it is leaving.
 	Drain time.Duration
-	// Apply is how long an accepted table may take to be in force.
+	// Apply is the time within which an accepted table must be in force.
 	Apply time.Duration
-	// Evacuate is how long an evacuation of a hall may take to be in force; zero where none is
-	// expected.
+	// Evacuate is the time within which the evacuation of a hall must be in force, zero if
+	// evacuations are not used.
 	Evacuate time.Duration
-	// Grace is the time between the signal to stop and the kill.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the fleet's repeats.
+	// RetryRatio, RetrySlack and RetryWindow define the fleet's retry budget.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
 }
 
-// soonest is the shorter of the times within which changes and evacuations must be in force.
-func (b BoundSettings) soonest() time.Duration {
+// strictest returns the shorter of Apply and Evacuate.
+func (b BoundSettings) strictest() time.Duration {
 	if b.Evacuate == 0 {
 		return b.Apply
 	}
 	return min(b.Apply, b.Evacuate)
 }
 
-// DutySettings are of what the fleet does once, on the box that holds the lease.
+// DutySettings configures the duties that the lease holder performs for the fleet.
 type DutySettings struct {
-	// Address is where the duties' calls go, "" where the fleet has no duties.
+	// Address is the address to which the duties send calls, "" if the fleet has no duties.
 	Address string
-	// Enabled names the duties that the fleet has.
+	// Enabled lists the names of the enabled duties.
 	Enabled []string
-	// Lease is the length of the lease.
+	// Lease is the duration of the lease.
 	Lease time.Duration
-	// Window is the length of a window whose usage is reported.
+	// Window is the length of a usage reporting window.
 	Window time.Duration
-	// WorkValue is what the work of a server that is busy all the time is worth, as a multiple
-	// of the price of one on demand.
+	// WorkValue is the value of the work of a fully busy server, as a multiple of the price of an
+	// on-demand server.
 	WorkValue float64
 }
 
@@ -92,17 +92,17 @@
 	DutyAutoscale = "autoscale"
 )
 
-// Has tells whether the fleet has a duty.
+// Has reports whether a duty is enabled.
 func (d DutySettings) Has(duty string) bool {
 	return d.Address != "" && slices.Contains(d.Enabled, duty)
 }
 
-// Unknown lists the duties that this program does not know.
+// Unknown returns the enabled duties that this build does not support.
 func (d DutySettings) Unknown() []string {
 	return slices.DeleteFunc(slices.Clone(d.Enabled), func(duty string) bool { return duty == DutyMetering || duty == DutyAutoscale })
 }
 
-// DefaultSettings returns the settings that stand where the file says nothing.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Listen:     ListenSettings{Caller: "127.0.0.1:8080", Ready: "127.0.0.1:8081", Metrics: "127.0.0.1:8082", Peer: "127.0.0.1:8083"},
@@ -117,10 +117,10 @@
 	}
 }
 
-// LoadSettings reads and checks a file. All its faults come in one *inifile.Error.
+// LoadSettings parses and validates a file. All invalid settings are reported in one *inifile.Error.
 func LoadSettings(path string) (Settings, error) { return parseSettings(path, path) }
 
-// ParseSettings checks settings held in memory, as LoadSettings does.
+// ParseSettings is like LoadSettings, with the content of the file as argument.
 func ParseSettings(content []byte) (Settings, error) { return parseSettings("settings", content) }
 
 func parseSettings(name string, source any) (Settings, error) {
@@ -141,8 +141,8 @@
 }
 
 func readBox(s *inifile.Section, b *BoxSettings) {
-	s.Require("id", "name the box")
-	s.Require("hall", "name the hall that the box stands in")
+	s.Require("id", "set a unique name for the box")
+	s.Require("hall", "set the hall in which the box is located")
 	s.String("id", &b.ID)
 	s.String("hall", &b.Hall)
 	s.String("region", &b.Region)
@@ -157,10 +157,10 @@
 	s.Done()
 }
 
-func readStore(s *inifile.Section, to *Settings) {
-	s.Require("address", "write the store's IP and port, as 192.0.2.1:7000")
-	s.AddrPort("address", &to.Store, false)
-	callrate.ReadSettings(s, &to.CallBudget)
+func readStore(s *inifile.Section, settings *Settings) {
+	s.Require("address", "set the IP address and port of the store, such as 192.0.2.1:7000")
+	s.AddrPort("address", &settings.Store, false)
+	callrate.ReadSettings(s, &settings.CallBudget)
 	s.Done()
 }
 
--- a/pkg/routerd/settings_test.go
+++ b/pkg/routerd/settings_test.go
@@ -10,7 +10,7 @@
 	"headhill.example/headhill/pkg/inifile"
 )
 
-func TestExampleIsGood(t *testing.T) {
+func TestLoadExampleSettings(t *testing.T) {
 	s, err := LoadSettings("../../docs/examples/route.ini")
 	require.NoError(t, err)
 	assert.Equal(t, "caugiay", s.Box.Hall)
@@ -18,11 +18,11 @@
 	assert.Equal(t, 8*time.Second, s.Bounds.Grace)
 }
 
-func TestAllFaultsAreToldAtOnce(t *testing.T) {
+func TestParseSettingsReportsAllProblems(t *testing.T) {
 	_, err := ParseSettings([]byte("[box]\nhall = x\n[store]\naddress = nowhere\n[bounds]\ndrain = soon\n[log]\nlevel = loud\n[unknown]\na = b\n"))
-	var faults *inifile.Error
-	require.ErrorAs(t, err, &faults)
-	assert.GreaterOrEqual(t, len(faults.Problems), 5)
+	var invalid *inifile.Error
+	require.ErrorAs(t, err, &invalid)
+	assert.GreaterOrEqual(t, len(invalid.Problems), 5)
 }
 
 func FuzzParseSettings(f *testing.F) {
@@ -39,14 +39,14 @@
 	const box = "[box]\nid = a\nhall = b\n[store]\naddress = 192.0.2.1:7000\n"
 	s, err := ParseSettings([]byte(box))
 	require.NoError(t, err)
-	assert.False(t, s.Duties.Has(DutyMetering), "a fleet has no duties unless it is told where their calls go")
+	assert.False(t, s.Duties.Has(DutyMetering), "duties must be disabled without an address")
 	s, err = ParseSettings([]byte(box + "[duties]\naddress = 192.0.2.2:80\nheld = metering,autoscale,rotation\nlease = 3000ms\nwindow = 5s\n"))
 	require.NoError(t, err)
 	assert.True(t, s.Duties.Has(DutyMetering))
 	assert.True(t, s.Duties.Has(DutyAutoscale))
 	assert.Equal(t, []string{"rotation"}, s.Duties.Unknown())
 	_, err = ParseSettings([]byte(box + "[duties]\naddress = nowhere\nlease = 1ms\nwork-value = -1\n"))
-	var faults *inifile.Error
-	require.ErrorAs(t, err, &faults)
-	assert.Len(t, faults.Problems, 3)
+	var invalid *inifile.Error
+	require.ErrorAs(t, err, &invalid)
+	assert.Len(t, invalid.Problems, 3)
 }
--- a/pkg/routerd/status.go
+++ b/pkg/routerd/status.go
@@ -13,46 +13,47 @@
 	"headhill.example/headhill/pkg/version"
 )
 
-// pathStatus is where operators see what a box knows, at the metrics address.
+// pathStatus is the path of the status endpoint on the metrics server.
 const pathStatus = "/status"
 
-// Status is what a routing box tells of itself.
+// Status is the state of a routing box as shown to operators.
 type Status struct {
 	Box     string `json:"box"`
 	Hall    string `json:"hall"`
 	Version string `json:"version"`
 	Ready   bool   `json:"ready"`
-	// Reader says that the box reads the store for others.
+	// Reader reports whether the box reads the store on behalf of others.
 	Reader bool `json:"reader"`
-	// Boxes is how many boxes it knows, itself included.
+	// Boxes is the number of boxes in the roster, including this one.
 	Boxes int `json:"boxes"`
-	// TableVersion is that of the routing table in force, zero for none; TableAgeMillis and
-	// ServersAgeMillis are how long ago the store last confirmed table and servers.
+	// TableVersion is the version of the routing table in force, zero for none. TableAgeMillis and
+	// ServersAgeMillis are the times since the store last confirmed table and servers, -1 for never.
 	TableVersion     uint64 `json:"table_version"`
 	TableAgeMillis   int64  `json:"table_age_ms"`
 	ServersAgeMillis int64  `json:"servers_age_ms"`
-	// EvacuatedHalls are those whose servers get nothing, as the store said so long ago.
+	// EvacuatedHalls lists the halls whose servers receive no requests, as read from the store
+	// EvacuationsAgeMillis ago.
 	EvacuatedHalls       []string `json:"evacuated_halls"`
 	EvacuationsAgeMillis int64    `json:"evacuations_age_ms"`
-	// FormsLevel is the level of the forms that the box reads, LowestFormsLevel the lowest of all
-	// boxes, EarlierBoxes are some of those that read less than this one: an upgrade is on its way.
-	// Readers know both as of the last check of the store, other boxes as of their last look.
+	// FormsLevel is the message format level of this box and LowestFormsLevel the lowest of all
+	// boxes. EarlierBoxes names boxes at a lower level than this one, which occur during an upgrade.
+	// On readers both date from the last check of the store, elsewhere from the last roster refresh.
 	FormsLevel       int      `json:"forms_level"`
 	LowestFormsLevel int      `json:"lowest_forms_level"`
 	EarlierBoxes     []string `json:"earlier_boxes"`
 }
 
-// earlierBoxesMost bounds the boxes of earlier builds that are named.
-const earlierBoxesMost = 20
+// maxEarlierBoxes limits the length of Status.EarlierBoxes.
+const maxEarlierBoxes = 20
 
-// Status tells what the box knows.
+// Status returns the current state.
 func (d *Daemon) Status() Status {
 	s, v, now := d.settings.Load(), d.directory.View(), clock.Now()
 	status := Status{
 		Box: s.Box.ID, Hall: s.Box.Hall, Version: version.String(), Ready: d.Ready(), Reader: d.roster.Reader(), Boxes: d.roster.Count(),
 		TableAgeMillis: millisSince(v.TableRead, now), ServersAgeMillis: millisSince(v.ServersRead, now),
 		EvacuatedHalls: d.directory.Evacuations().Halls, EvacuationsAgeMillis: millisSince(v.EvacuationsRead, now),
-		FormsLevel: forms.Level, LowestFormsLevel: d.roster.LowestLevel(), EarlierBoxes: d.roster.EarlierBoxes(earlierBoxesMost),
+		FormsLevel: forms.Level, LowestFormsLevel: d.roster.LowestLevel(), EarlierBoxes: d.roster.EarlierBoxes(maxEarlierBoxes),
 	}
 	if v.Table != nil {
 		status.TableVersion = v.Table.Version
@@ -60,7 +61,7 @@
 	return status
 }
 
-// millisSince is how many milliseconds ago a time was, -1 for a time that never was.
+// millisSince returns the milliseconds from t to now, or -1 if t is zero.
 func millisSince(t, now time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -71,6 +72,6 @@
 func (d *Daemon) handleStatus(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(d.Status()); err != nil {
-		_ = level.Info(d.logger).Log("msg", "status not told", "err", err)
+		_ = level.Info(d.logger).Log("msg", "failed to write status", "err", err)
 	}
 }
--- a/pkg/routerd/stop.go
+++ b/pkg/routerd/stop.go
@@ -11,66 +11,65 @@
 )
 
 const (
-	// noticeTime is how long the balancer takes to notice that the box is not
-	// ready: two questions a second apart, and what is on its way then.
-	noticeTime = 3500 * time.Millisecond
-	// killMargin is left between the last answer and the kill.
-	killMargin = 600 * time.Millisecond
-	stopCheck  = 20 * time.Millisecond
-	// streamTime is how long after the signal streams are still begun. The
-	// balancer's last callers come until then.
-	streamTime = 2500 * time.Millisecond
+	// balancerNoticeTime is how long the load balancer may still send requests after the box has
+	// become not ready: two probes one second apart, and the connections already under way.
+	balancerNoticeTime = 3500 * time.Millisecond
+	// killMargin is reserved for cleanup between the last answer and the kill.
+	killMargin       = 600 * time.Millisecond
+	idlePollInterval = 20 * time.Millisecond
+	// streamAcceptTime is how long after the signal new streams are accepted. The load balancer
+	// sends its last requests within this time.
+	streamAcceptTime = 2500 * time.Millisecond
 )
 
-// Stop is a planned stop: the box says that it is not ready, goes on serving until
-// the balancer has noticed and no request is in progress, and ends before the
-// grace time does.
+// Stop stops the daemon gracefully. The box becomes not ready and serves requests until the load
+// balancer has noticed and none is in flight, at most until shortly before the grace period ends.
 func (d *Daemon) Stop() {
-	begun := clock.Now()
-	end := begun.Add(d.settings.Load().Bounds.Grace - killMargin)
-	d.stop.Store(&gateway.Shutdown{RefuseStreamsAfter: begun.Add(streamTime), Deadline: end})
-	// Kept connections are closed as soon as they rest, so that their callers go
-	// elsewhere with the next request.
-	d.connections.closeResting()
+	start := clock.Now()
+	deadline := start.Add(d.settings.Load().Bounds.Grace - killMargin)
+	d.shutdown.Store(&gateway.Shutdown{RefuseStreamsAfter: start.Add(streamAcceptTime), Deadline: deadline})
+	// Close keep-alive connections once they are idle, so that callers send their next request to
+	// another box.
+	d.conns.closeIdle()
 	_ = level.Info(d.logger).Log("msg", "stopping", "in_progress", d.gateway.InProgress())
 	d.duties.handOver()
-	d.waitUntilIdle(begun.Add(min(noticeTime, clock.Until(end))), end)
-	left := d.gateway.InProgress()
+	d.waitUntilIdle(start.Add(min(balancerNoticeTime, clock.Until(deadline))), deadline)
+	cancelled := d.gateway.InProgress()
 	d.gateway.CancelAll()
 	ctx, cancel := context.WithTimeout(context.Background(), killMargin/3)
 	defer cancel()
-	_ = d.callerPort.Close()
-	d.connections.closeAll(ctx)
+	_ = d.callerListener.Close()
+	d.conns.drainAndClose(ctx)
 	d.duties.flush()
 	d.roster.Leave(ctx)
 	d.cancel()
-	_ = d.callers.Close()
-	_ = d.ready.Close()
+	_ = d.callerServer.Close()
+	_ = d.readyServer.Close()
 	_ = d.metricsServer.Close()
 	_ = d.snapshotServer.Close()
-	_ = d.peerPort.Close()
-	_ = level.Info(d.logger).Log("msg", "stopped", "given_up", left, "after", clock.Since(begun))
+	_ = d.peerConn.Close()
+	_ = level.Info(d.logger).Log("msg", "stopped", "given_up", cancelled, "after", clock.Since(start))
 }
 
-// waitUntilIdle waits until no request is in progress, at least until the earliest
-// time and at most until the latest.
+// waitUntilIdle waits until no request is in flight, but at least until earliest and at most until
+// latest.
 func (d *Daemon) waitUntilIdle(earliest, latest time.Time) {
 	for now := clock.Now(); now.Before(latest); now = clock.Now() {
 		if now.After(earliest) && d.gateway.InProgress() == 0 {
 			return
 		}
-		time.Sleep(stopCheck)
+		time.Sleep(idlePollInterval)
 	}
 }
 
-// Close ends the daemon at once, as a crash does.
+// Close stops the daemon immediately, without draining.
 func (d *Daemon) Close() {
 	d.cancel()
-	_ = d.callers.Close()
-	_ = d.ready.Close()
+	_ = d.callerServer.Close()
+	_ = d.readyServer.Close()
 	_ = d.metricsServer.Close()
 	_ = d.snapshotServer.Close()
-	_ = d.peerPort.Close()
+	_ = d.peerConn.Close()
 	d.wg.Wait()
 	_ = d.metrics.Close()
 }
--- a/pkg/routerd/storecalls.go
+++ b/pkg/routerd/storecalls.go
@@ -7,21 +7,21 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// CallKind is a kind of calls to the store.
+// CallKind is a kind of call to the store.
 type CallKind string
 
-// Kinds of calls.
+// Kinds of calls to the store.
 const (
 	CallRead  CallKind = "read"
 	CallWatch CallKind = "watch"
 	CallWrite CallKind = "write"
-	// CallStaleRead reads what may be seconds old. It costs little and is bound by no rate.
+	// CallStaleRead reads data that may be seconds old. It is cheap and not rate limited.
 	CallStaleRead CallKind = "stale read"
 )
 
-// StoreCall says what a call to the store is for.
+// StoreCall describes a call to the store.
 type StoreCall struct {
-	// Object is what it is about.
+	// Object is the kind of object that is read or written.
 	Object string
 	Kind   CallKind
 }
@@ -29,40 +29,40 @@
 // String implements fmt.Stringer.
 func (c StoreCall) String() string { return c.Object + " " + string(c.Kind) }
 
-// StoreAccess says how the store may be called.
+// StoreAccess is what a client of the store needs to make calls.
 type StoreAccess struct {
-	// Address is where the store is at the time of a call.
+	// Address returns the current address of the store.
 	Address func() string
-	// Admit returns when a call may be made, or with an error if ctx ends before that.
+	// Admit blocks until the rate limits allow the call or ctx is done.
 	Admit func(ctx context.Context, call StoreCall) error
-	// OnUnusableEntry is told of each object that can't be used; nil for nobody. The name is "" where
-	// that can't be read either.
+	// OnUnusableEntry, if not nil, is called for each object that can't be decoded or is invalid.
+	// The name is "" if it can't be decoded.
 	OnUnusableEntry func(object, name string, err error)
 }
 
-// storeCalls keeps this box's calls within its share of the store's rates, and counts them.
+// storeCalls limits this box's calls to its share of the store's call budget and counts them.
 type storeCalls struct {
-	rates  *callrate.Limiter
-	counts *tally
+	limiter *callrate.Limiter
+	counts  *labelCounter
 }
 
-func newStoreCalls(rates callrate.Budget) *storeCalls {
-	return &storeCalls{rates: callrate.New(rates), counts: newTally()}
+func newStoreCalls(budget callrate.Budget) *storeCalls {
+	return &storeCalls{limiter: callrate.New(budget), counts: newLabelCounter()}
 }
 
-// admit counts a call and waits until it may be made.
+// admit implements StoreAccess.Admit and counts the call.
 func (s *storeCalls) admit(ctx context.Context, call StoreCall) error {
-	s.counts.add(call.String())
+	s.counts.increment(call.String())
 	if call.Kind == CallStaleRead {
 		return nil
 	}
-	return s.rates.Wait(ctx, call.Kind == CallWrite)
+	return s.limiter.Wait(ctx, call.Kind == CallWrite)
 }
 
-// gauge shows the calls by what they were for.
+// gauge returns the gauge for calls by object and kind.
 func (s *storeCalls) gauge() telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_store_calls", Help: "Calls to the store since the start, by what they were for.",
-		Attribute: "call", Observe: s.counts.byName,
+		Attribute: "call", Observe: s.counts.snapshot,
 	}
 }
--- a/pkg/routerd/suspension.go
+++ b/pkg/routerd/suspension.go
@@ -9,25 +9,25 @@
 	"headhill.example/headhill/pkg/clock"
 )
 
-// awayCheck is how often a box looks whether its machine was suspended. Nothing waits for it: ages
-// are judged where they are used.
-const awayCheck = 500 * time.Millisecond
+// suspensionCheckInterval only affects logging. Code that depends on the age of data checks it
+// when it uses the data.
+const suspensionCheckInterval = 500 * time.Millisecond
 
-// watchAway logs suspensions until ctx ends.
-func (d *Daemon) watchAway(ctx context.Context) {
-	ticker := time.NewTicker(awayCheck)
+// logSuspensions logs suspensions of the machine until ctx is done.
+func (d *Daemon) logSuspensions(ctx context.Context) {
+	ticker := time.NewTicker(suspensionCheckInterval)
 	defer ticker.Stop()
-	before := clock.TotalSuspended()
+	previous := clock.TotalSuspended()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			total := clock.TotalSuspended()
-			if total > before {
-				_ = level.Warn(d.logger).Log("msg", "the machine was suspended", "for", total-before, "total", total, "outcome", "what is known is as old as it is")
+			if total > previous {
+				_ = level.Warn(d.logger).Log("msg", "machine was suspended", "for", total-previous, "total", total, "outcome", "routing data has aged by the time of the suspension")
 			}
-			before = total
+			previous = total
 		}
 	}
 }
