--- a/pkg/telemetry/telemetry.go
+++ b/pkg/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds the metrics of a box, kept with OpenTelemetry and shown
-// to Prometheus.
+// Package telemetry records the metrics of a box with OpenTelemetry and exposes them
+// in the Prometheus format.
 package telemetry
 
 import (
@@ -16,37 +16,36 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// organisationsMost bounds the organisations with series of their own; the rest
-// are counted together as otherOrganisations.
 const (
-	organisationsMost  = 50
+	// maxOrganisations limits the cardinality of the organisation label. Requests of
+	// further organisations are recorded under otherOrganisations.
+	maxOrganisations   = 50
 	otherOrganisations = "other"
 )
 
-// bounds of the latency histograms, in seconds: from a step of an engine to the
-// longest wait.
-var bounds = []float64{.002, .005, .01, .02, .037, .05, .1, .25, .5, 1, 1.3, 2.5, 5, 10, 30, 60, 120}
+// latencyBucketsSeconds are the bucket boundaries of the latency histograms.
+var latencyBucketsSeconds = []float64{.002, .005, .01, .02, .037, .05, .1, .25, .5, 1, 1.3, 2.5, 5, 10, 30, 60, 120}
 
-// Metrics are a box's instruments.
+// Metrics holds the instruments of a box.
 type Metrics struct {
 	registry *prometheus.Registry
 	provider *sdk.MeterProvider
 
-	queueWait  metric.Float64Histogram
-	firstToken metric.Float64Histogram
-	between    metric.Float64Histogram
-	total      metric.Float64Histogram
-	requests   metric.Int64Counter
-	attained   metric.Int64Counter
-	tokens     metric.Int64Counter
-	wasted     metric.Int64Counter
-	retries    metric.Int64Counter
+	queueWait         metric.Float64Histogram
+	timeToFirstToken  metric.Float64Histogram
+	interTokenLatency metric.Float64Histogram
+	total             metric.Float64Histogram
+	requests          metric.Int64Counter
+	attained          metric.Int64Counter
+	tokens            metric.Int64Counter
+	wastedTokens      metric.Int64Counter
+	retries           metric.Int64Counter
 
 	mu            sync.Mutex
 	organisations map[string]bool
 }
 
-// New returns the instruments of one box.
+// New creates the instruments of a box in a registry of their own.
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo())
@@ -55,34 +54,34 @@
 	}
 	provider := sdk.NewMeterProvider(sdk.WithReader(exporter))
 	m := &Metrics{registry: registry, provider: provider, organisations: make(map[string]bool)}
-	return m, m.instruments(provider.Meter("headhill"))
+	return m, m.createInstruments(provider.Meter("headhill"))
 }
 
-func (m *Metrics) instruments(meter metric.Meter) error {
+func (m *Metrics) createInstruments(meter metric.Meter) error {
 	histograms := []struct {
-		to         *metric.Float64Histogram
+		instrument *metric.Float64Histogram
 		name, help string
 	}{
 		{&m.queueWait, "headhill_queue_wait_seconds", "Time from a request's arrival to its grant."},
-		{&m.firstToken, "headhill_first_token_seconds", "Time from a request's arrival to the first token of its answer."},
-		{&m.between, "headhill_between_tokens_seconds", "Mean time between the tokens of an answer."},
+		{&m.timeToFirstToken, "headhill_first_token_seconds", "Time from a request's arrival to the first token of its answer."},
+		{&m.interTokenLatency, "headhill_between_tokens_seconds", "Mean time between the tokens of an answer."},
 		{&m.total, "headhill_total_seconds", "Time from a request's arrival to the end of its answer."},
 	}
 	for _, h := range histograms {
-		i, err := meter.Float64Histogram(h.name, metric.WithDescription(h.help), metric.WithExplicitBucketBoundaries(bounds...))
+		i, err := meter.Float64Histogram(h.name, metric.WithDescription(h.help), metric.WithExplicitBucketBoundaries(latencyBucketsSeconds...))
 		if err != nil {
 			return err
 		}
-		*h.to = i
+		*h.instrument = i
 	}
 	counters := []struct {
-		to         *metric.Int64Counter
+		instrument *metric.Int64Counter
 		name, help string
 	}{
 		{&m.requests, "headhill_requests", "Requests by how they ended."},
 		{&m.attained, "headhill_attained", "Answers within their class's latency targets."},
 		{&m.tokens, "headhill_tokens", "Tokens delivered."},
-		{&m.wasted, "headhill_wasted_tokens", "Tokens prefilled or generated and not delivered, or done twice."},
+		{&m.wastedTokens, "headhill_wasted_tokens", "Tokens prefilled or generated and not delivered, or done twice."},
 		{&m.retries, "headhill_retries", "Requests sent to another server after a failure."},
 	}
 	for _, c := range counters {
@@ -90,20 +89,21 @@
 		if err != nil {
 			return err
 		}
-		*c.to = i
+		*c.instrument = i
 	}
 	return nil
 }
 
-// Gauge is a gauge with a value for each attribute.
+// Gauge describes an observable gauge with one value for each value of an attribute.
 type Gauge struct {
 	Name, Help string
-	// Attribute is the name of the attribute, Observe returns the values by it when asked.
+	// Attribute is the name of the attribute.
 	Attribute string
-	Observe   func() map[string]int64
+	// Observe returns the current values, keyed by attribute value. It is called at each scrape.
+	Observe func() map[string]int64
 }
 
-// AddGauges makes the metrics show some gauges.
+// AddGauges registers observable gauges.
 func (m *Metrics) AddGauges(list ...Gauge) error {
 	for _, g := range list {
 		if err := m.addGauge(g); err != nil {
@@ -125,12 +125,12 @@
 	return err
 }
 
-// Request is how one request ended.
+// Request describes a finished request.
 type Request struct {
 	Class        string
 	Organisation string
 	Outcome      string
-	// Status is the HTTP status that the caller got.
+	// Status is the HTTP status sent to the caller.
 	Status            int
 	QueueWait         time.Duration
 	TimeToFirstToken  time.Duration
@@ -139,51 +139,52 @@
 	Tokens            int
 	WastedTokens      int
 	Retries           int
-	// Attained says that the answer was within its class's targets.
+	// Attained reports whether the answer met the latency targets of its class.
 	Attained bool
 }
 
-// Record takes one request in.
+// Record adds a finished request to the metrics.
 func (m *Metrics) Record(r Request) {
 	ctx := context.Background()
 	class := metric.WithAttributes(attribute.String("class", r.Class))
 	m.queueWait.Record(ctx, r.QueueWait.Seconds(), class)
 	if r.TimeToFirstToken > 0 {
-		m.firstToken.Record(ctx, r.TimeToFirstToken.Seconds(), class)
+		m.timeToFirstToken.Record(ctx, r.TimeToFirstToken.Seconds(), class)
 	}
 	if r.InterTokenLatency > 0 {
-		m.between.Record(ctx, r.InterTokenLatency.Seconds(), class)
+		m.interTokenLatency.Record(ctx, r.InterTokenLatency.Seconds(), class)
 	}
 	m.total.Record(ctx, r.Total.Seconds(), class)
 	m.requests.Add(ctx, 1, metric.WithAttributes(
 		attribute.String("class", r.Class),
 		attribute.String("outcome", r.Outcome),
-		attribute.String("organisation", m.organisation(r.Organisation))))
+		attribute.String("organisation", m.organisationLabel(r.Organisation))))
 	m.tokens.Add(ctx, int64(r.Tokens), class)
-	m.wasted.Add(ctx, int64(r.WastedTokens), class)
+	m.wastedTokens.Add(ctx, int64(r.WastedTokens), class)
 	m.retries.Add(ctx, int64(r.Retries), class)
 	if r.Attained {
 		m.attained.Add(ctx, 1, class)
 	}
 }
 
-func (m *Metrics) organisation(name string) string {
+// organisationLabel returns the label value for an organisation.
+func (m *Metrics) organisationLabel(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.organisations[name] {
 		return name
 	}
-	if len(m.organisations) >= organisationsMost {
+	if len(m.organisations) >= maxOrganisations {
 		return otherOrganisations
 	}
 	m.organisations[name] = true
 	return name
 }
 
-// Handler shows the metrics in Prometheus' format.
+// Handler serves the metrics in the Prometheus exposition format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Close releases the instruments.
+// Close shuts down the meter provider.
 func (m *Metrics) Close() error { return m.provider.Shutdown(context.Background()) }
