--- a/pkg/logflags/settings.go
+++ b/pkg/logflags/settings.go
@@ -2,18 +2,18 @@
 
 import "headhill.example/headhill/pkg/inifile"
 
-// Settings say what is logged and how.
+// Settings configures logging.
 type Settings struct {
 	Level  string
 	Format string
-	// Output lists the subsystems that log at debug level.
+	// Output lists the subsystems that log at debug level whatever Level is.
 	Output []string
 }
 
-// DefaultSettings are those of a file that says nothing of logs.
+// DefaultSettings returns the settings used where a file sets none.
 func DefaultSettings() Settings { return Settings{Level: "info", Format: "logfmt"} }
 
-// Read reads and checks the section of a settings file that is about logs.
+// Read parses and validates the log section of a settings file.
 func (l *Settings) Read(s *inifile.Section) {
 	s.OneOf("level", &l.Level, "debug", "info", "warn", "error")
 	s.OneOf("format", &l.Format, "logfmt", "json")
--- a/pkg/logflags/writer.go
+++ b/pkg/logflags/writer.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// linesPerSecond and linesBurst bound the volume of logs.
+	// linesPerSecond and burstLines are the rate and burst of the token bucket that limits lines.
 	linesPerSecond = 400
-	linesBurst     = 2000
-	// queuedMost bounds the lines that wait for a reader, in bytes.
-	queuedMost = 1 << 20
+	burstLines     = 2000
+	// maxQueuedBytes bounds the lines queued for the underlying writer.
+	maxQueuedBytes = 1 << 20
 )
 
-// AsyncWriter takes lines without ever blocking, and hands them to another writer from
-// a goroutine of its own. What exceeds the bounds on volume is dropped and counted;
-// the count is written as a line as soon as there is room.
+// AsyncWriter queues lines without blocking and writes them to another writer from a separate
+// goroutine. Lines above the rate limit or the queue limit are dropped; their number is logged
+// as soon as a line is accepted again.
 type AsyncWriter struct {
-	to io.Writer
+	dst io.Writer
 
-	mu      sync.Mutex
-	queue   bytes.Buffer
-	dropped int
-	tokens  float64
-	filled  time.Time
-	closed  bool
-	wake    chan struct{}
-	done    chan struct{}
+	mu         sync.Mutex
+	queue      bytes.Buffer
+	dropped    int
+	tokens     float64
+	lastRefill time.Time
+	closed     bool
+	wake       chan struct{}
+	done       chan struct{}
 }
 
-// NewAsyncWriter returns a writer that hands lines to another one.
-func NewAsyncWriter(to io.Writer) *AsyncWriter {
-	w := &AsyncWriter{to: to, tokens: linesBurst, filled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewAsyncWriter starts a writer that forwards lines to dst.
+func NewAsyncWriter(dst io.Writer) *AsyncWriter {
+	w := &AsyncWriter{dst: dst, tokens: burstLines, lastRefill: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line.
+// Write queues or drops one line. It never returns an error.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refill(time.Now())
-	if w.closed || w.tokens < 1 || w.queue.Len()+len(line) > queuedMost {
+	if w.closed || w.tokens < 1 || w.queue.Len()+len(line) > maxQueuedBytes {
 		w.dropped++
 		return len(line), nil
 	}
@@ -62,11 +62,11 @@
 }
 
 func (w *AsyncWriter) refill(now time.Time) {
-	w.tokens = min(linesBurst, w.tokens+now.Sub(w.filled).Seconds()*linesPerSecond)
-	w.filled = now
+	w.tokens = min(burstLines, w.tokens+now.Sub(w.lastRefill).Seconds()*linesPerSecond)
+	w.lastRefill = now
 }
 
-// run hands over what has gathered.
+// run writes queued lines to the underlying writer until Close.
 func (w *AsyncWriter) run() {
 	defer close(w.done)
 	for range w.wake {
@@ -74,13 +74,13 @@
 		lines := bytes.Clone(w.queue.Bytes())
 		w.queue.Reset()
 		w.mu.Unlock()
-		// A reader that is gone takes no logs; there is nobody to tell.
-		_, _ = w.to.Write(lines)
+		// A failed write can't be reported anywhere.
+		_, _ = w.dst.Write(lines)
 	}
 }
 
-// Close hands over what is left, for at most this long.
-func (w *AsyncWriter) Close(most time.Duration) {
+// Close writes the queued lines, waiting at most timeout.
+func (w *AsyncWriter) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
@@ -93,6 +93,6 @@
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/pkg/logflags/writer_test.go
+++ b/pkg/logflags/writer_test.go
@@ -12,29 +12,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a reader that does not read until it is let go.
-type stuck struct {
-	release chan struct{}
+// blockingWriter blocks in Write until unblock is closed.
+type blockingWriter struct {
+	unblock chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.release
+func (s *blockingWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-func (s *stuck) String() string {
+func (s *blockingWriter) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
-func TestWriterNeverBlocks(t *testing.T) {
-	to := &stuck{release: make(chan struct{})}
-	w := NewAsyncWriter(to)
+func TestAsyncWriterNeverBlocks(t *testing.T) {
+	dst := &blockingWriter{unblock: make(chan struct{})}
+	w := NewAsyncWriter(dst)
 	line := []byte("level=info msg=" + strings.Repeat("x", 1000) + "\n")
 	done := make(chan struct{})
 	go func() {
@@ -47,34 +47,34 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("writing blocked on a reader that does not read")
+		t.Fatal("Write blocked on a stalled underlying writer")
 	}
 	w.mu.Lock()
-	held := w.queue.Len()
+	queued := w.queue.Len()
 	w.mu.Unlock()
-	assert.LessOrEqual(t, held, queuedMost)
-	close(to.release)
+	assert.LessOrEqual(t, queued, maxQueuedBytes)
+	close(dst.unblock)
 	w.Close(5 * time.Second)
-	assert.LessOrEqual(t, len(to.String()), 3*queuedMost)
+	assert.LessOrEqual(t, len(dst.String()), 3*maxQueuedBytes)
 }
 
-func TestWriterBoundsAndCountsLines(t *testing.T) {
+func TestAsyncWriterLimitsRateAndReportsDroppedLines(t *testing.T) {
 	var got bytes.Buffer
 	w := NewAsyncWriter(&got)
-	for range 3 * linesBurst {
+	for range 3 * burstLines {
 		_, _ = io.WriteString(w, "line\n")
 	}
-	time.Sleep(50 * time.Millisecond) // room for some lines
+	time.Sleep(50 * time.Millisecond) // refills the token bucket
 	_, _ = io.WriteString(w, "last\n")
 	w.Close(5 * time.Second)
 	lines := strings.Count(got.String(), "line\n")
-	require.GreaterOrEqual(t, lines, linesBurst)
-	assert.Less(t, lines, 3*linesBurst-100)
+	require.GreaterOrEqual(t, lines, burstLines)
+	assert.Less(t, lines, 3*burstLines-100)
 	assert.Contains(t, got.String(), `msg="log lines dropped" count=`)
 	assert.True(t, strings.HasSuffix(got.String(), "last\n"))
 }
 
-func TestWriterWritesAllBeforeItCloses(t *testing.T) {
+func TestAsyncWriterCloseWritesQueuedLines(t *testing.T) {
 	var got bytes.Buffer
 	w := NewAsyncWriter(&got)
 	for range 100 {
