--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads a box's settings: one INI file, checked as a whole
-// before anything starts.
+// Package settings loads the settings of a box from an INI file and validates them.
 package settings
 
 import (
@@ -13,81 +12,84 @@
 	"headhill.example/headhill/pkg/logflags"
 )
 
-// TLS modes of the peer port.
+// Security modes of the peer port.
 const (
 	PeerModeTLS   = "tls"
 	PeerModePlain = "plain"
 )
 
-// Settings are a box's own settings. What the fleet shares is configuration, and
-// changes through the intent API.
+// Settings holds the settings of a single box. Configuration shared by the fleet is not part of
+// it; that is changed through the intent API.
 type Settings struct {
-	Box       Box
-	Listen    Listen
-	Platform  Platform
-	Peers     Peers
-	Operators map[string]string // name to hex SHA-256 of the operator's token
+	Box      Box
+	Listen   Listen
+	Platform Platform
+	Peers    Peers
+	// Operators maps the name of each operator to the hex SHA-256 of the operator's token.
+	Operators map[string]string
 	Limits    Limits
 	Log       logflags.Settings
 }
 
-// Box says which box this is and where it stands.
+// Box identifies the box and its location.
 type Box struct {
 	ID     string
 	Hall   string
 	Region string
 }
 
-// Listen holds the addresses of the three ports.
+// Listen holds the listen addresses.
 type Listen struct {
 	Caller string
 	Peer   string
 	Admin  string
 }
 
-// Platform says how to reach the platform.
+// Platform configures access to the platform's object API.
 type Platform struct {
 	URL       string
 	TokenFile string
 	// Token is the content of TokenFile.
 	Token string
-	// Prefix stands before every key headhill uses.
+	// Prefix is prepended to all object keys.
 	Prefix string
-	// CallBudget are the calls a second that the platform takes from all boxes together.
+	// CallBudget limits the calls to the platform per second, summed over all boxes.
 	CallBudget callrate.Budget
 }
 
-// Peers says how boxes talk to each other.
+// Peers configures the connections between boxes.
 type Peers struct {
-	// Seeds are peers to ask while the platform's box list can't be had.
+	// Seeds are addresses of peers to contact while the list of boxes can't be read from the
+	// platform.
 	Seeds []string
-	Mode  string
-	// CertFile, KeyFile and RootsFile are PEM files: this box's certificate and key, and the
-	// roots that sign the peers' certificates.
+	// Mode is PeerModeTLS or PeerModePlain.
+	Mode string
+	// CertFile and KeyFile are PEM files with this box's certificate and private key. RootsFile
+	// holds the CA certificates that sign the certificates of peers.
 	CertFile, KeyFile, RootsFile string
 }
 
-// Limits bound what callers can make a box hold.
+// Limits bounds the resources that requests use on a box.
 type Limits struct {
-	// MaxBodyBytes bounds a request's body, MaxHeaderBytes its header, MaxHeldBytes the bodies held at a
-	// time, all in bytes.
+	// MaxBodyBytes and MaxHeaderBytes bound the body and header of a request; MaxHeldBytes bounds
+	// the total size of the bodies in memory.
 	MaxBodyBytes, MaxHeaderBytes, MaxHeldBytes int
-	// MaxRequests bounds the requests in progress.
+	// MaxRequests bounds the requests in flight.
 	MaxRequests int
-	// HeaderTimeout and BodyTimeout bound how long a caller may take to send.
+	// HeaderTimeout and BodyTimeout bound the time for reading a request's header and body.
 	HeaderTimeout, BodyTimeout time.Duration
-	// AnswerTimeout bounds the silence of a backend server.
+	// AnswerTimeout is the idle timeout for an answer from a backend server.
 	AnswerTimeout time.Duration
-	// StopNotice is how long a stopping box still takes new callers, so that the
-	// balancer can notice. StopTimeout bounds a planned stop; zero means no bound.
+	// StopNotice is how long a stopping box keeps accepting requests, so that the load balancer
+	// can take it out of rotation first. StopTimeout bounds a planned stop; zero means no limit.
 	StopNotice, StopTimeout time.Duration
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
 
-const nameRemedy = "write 1 to 64 of a-z, 0-9, dot and dash, beginning and ending with a letter or digit"
+const nameRemedy = "use 1 to 64 characters of a-z, 0-9, dot and dash, starting and ending with a letter or digit"
 
-// Default returns the settings that stand where the file says nothing.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Caller: "127.0.0.1:8080", Peer: "127.0.0.1:8081", Admin: "127.0.0.1:8082"},
@@ -107,10 +109,10 @@
 	}
 }
 
-// Load reads and checks a file. All its faults come in one *inifile.Error.
+// Load parses and validates a file. All invalid settings are reported in one *inifile.Error.
 func Load(path string) (Settings, error) { return parse(path, path) }
 
-// Parse checks settings held in memory, as Load does.
+// Parse is like Load, with the content of the file as argument.
 func Parse(content []byte) (Settings, error) { return parse("settings", content) }
 
 func parse(name string, source any) (Settings, error) {
@@ -131,19 +133,19 @@
 
 func readBox(s *inifile.Section, b *Box) {
 	s.Require("id", nameRemedy)
-	s.Require("hall", "name the hall that the box stands in")
+	s.Require("hall", "set the hall in which the box is located")
 	s.String("id", &b.ID)
 	s.String("hall", &b.Hall)
 	b.Region = "default"
 	s.String("region", &b.Region)
-	checkName(s, "id", b.ID)
-	checkName(s, "hall", b.Hall)
-	checkName(s, "region", b.Region)
+	validateName(s, "id", b.ID)
+	validateName(s, "hall", b.Hall)
+	validateName(s, "region", b.Region)
 	s.Done()
 }
 
-func checkName(s *inifile.Section, key, v string) {
-	if v != "" && !nameForm.MatchString(v) {
+func validateName(s *inifile.Section, key, v string) {
+	if v != "" && !namePattern.MatchString(v) {
 		s.Problem(key, v, nameRemedy)
 	}
 }
@@ -155,18 +157,18 @@
 	s.Done()
 }
 
-var urlForm = regexp.MustCompile(`^https?://[^\s/]+`)
+var urlPattern = regexp.MustCompile(`^https?://[^\s/]+`)
 
 func readPlatform(s *inifile.Section, p *Platform) {
-	s.Require("url", "write the URL of the platform's object API, as http://192.0.2.1:7000")
+	s.Require("url", "set the URL of the platform's object API, such as http://192.0.2.1:7000")
 	s.String("url", &p.URL)
 	s.String("token-file", &p.TokenFile)
 	s.String("prefix", &p.Prefix)
 	callrate.ReadSettings(s, &p.CallBudget)
-	if p.URL != "" && !urlForm.MatchString(p.URL) {
-		s.Problem("url", p.URL, "write an http or https URL, as http://192.0.2.1:7000")
+	if p.URL != "" && !urlPattern.MatchString(p.URL) {
+		s.Problem("url", p.URL, "use an http or https URL, such as http://192.0.2.1:7000")
 	}
-	checkName(s, "prefix", p.Prefix)
+	validateName(s, "prefix", p.Prefix)
 	p.Token = readToken(s, p.TokenFile)
 	s.Done()
 }
@@ -177,7 +179,7 @@
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
-		s.Problem("token-file", file, "name a readable file: "+err.Error())
+		s.Problem("token-file", file, "set it to a readable file: "+err.Error())
 	}
 	return string(trimNewline(b))
 }
@@ -197,14 +199,14 @@
 	s.String("roots", &p.RootsFile)
 	if p.Mode == PeerModeTLS {
 		for _, f := range []struct{ key, path string }{{"cert", p.CertFile}, {"key", p.KeyFile}, {"roots", p.RootsFile}} {
-			checkFile(s, f.key, f.path)
+			validateReadable(s, f.key, f.path)
 		}
 	}
 	s.Done()
 }
 
-func checkFile(s *inifile.Section, key, path string) {
-	const remedy = "name a readable PEM file, or set mode = plain on a network you trust"
+func validateReadable(s *inifile.Section, key, path string) {
+	const remedy = "set it to a readable PEM file, or set mode = plain on a trusted network"
 	if path == "" {
 		s.Problem(key, path, remedy)
 		return
@@ -218,17 +220,17 @@
 	m := s.All()
 	for name, hash := range m {
 		if b, err := hex.DecodeString(hash); err != nil || len(b) != 32 {
-			s.Problem(name, hash, "write the hex SHA-256 of the operator's token, as `headhillctl key` prints it")
+			s.Problem(name, hash, "set it to the hex SHA-256 of the operator's token, as printed by `headhillctl key`")
 		}
 	}
 	return m
 }
 
 func readLimits(s *inifile.Section, l *Limits) {
-	const most = 1 << 40
+	const maxHeldBytes = 1 << 40
 	s.Int("body", &l.MaxBodyBytes, 1<<10, 1<<30)
 	s.Int("header", &l.MaxHeaderBytes, 1<<10, 1<<20)
-	s.Int("held", &l.MaxHeldBytes, 1<<20, most)
+	s.Int("held", &l.MaxHeldBytes, 1<<20, maxHeldBytes)
 	s.Int("requests", &l.MaxRequests, 1, 1<<20)
 	s.Duration("header-timeout", &l.HeaderTimeout, 100*time.Millisecond, time.Minute)
 	s.Duration("body-timeout", &l.BodyTimeout, 100*time.Millisecond, 10*time.Minute)
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -9,9 +9,9 @@
 	"headhill.example/headhill/pkg/inifile"
 )
 
-const least = "[box]\nid = b\nhall = h\n[platform]\nurl = http://127.0.0.1:1\n[peers]\nmode = plain\n"
+const minimalSettings = "[box]\nid = b\nhall = h\n[platform]\nurl = http://127.0.0.1:1\n[peers]\nmode = plain\n"
 
-func TestEveryFaultIsReportedAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	_, err := Parse([]byte(`
 [box]
 id = UPPER
@@ -51,20 +51,20 @@
 	require.ElementsMatch(t, want, got)
 }
 
-func TestLeastSettings(t *testing.T) {
-	s, err := Parse([]byte(least))
+func TestParseMinimalSettings(t *testing.T) {
+	s, err := Parse([]byte(minimalSettings))
 	require.NoError(t, err)
 	require.Equal(t, Default().Limits, s.Limits)
 }
 
-func TestMissingFile(t *testing.T) {
+func TestLoadMissingFile(t *testing.T) {
 	_, err := Load("no/such/file.ini")
 	var e *inifile.SyntaxError
 	require.ErrorAs(t, err, &e)
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimalSettings))
 	f.Add([]byte("[box]\nid = b\n[box]\nid = c\n"))
 	f.Add([]byte("a = 1\n[limits]\nbody = 99999999999999999999\n[log]\noutput=,,,"))
 	f.Fuzz(func(t *testing.T, data []byte) {
