--- a/pkg/readiness/readiness.go
+++ b/pkg/readiness/readiness.go
@@ -1,5 +1,5 @@
-// Package readiness answers the balancer's question whether a box should get
-// callers.
+// Package readiness serves the endpoint that the load balancer in front of the boxes polls to
+// decide whether a box receives requests.
 package readiness
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Path is where the question is asked, on the callers' and the operators' port.
+// Path is the path of the readiness endpoint.
 const Path = "/readyz"
 
-// Handler answers 200 while ready holds, and 503 otherwise.
+// Handler returns a handler that responds with 200 while ready returns true, and with 503 otherwise.
 func Handler(ready func() bool) httprouter.Handle {
 	return func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if !ready() {
