--- a/pkg/version/version.go
+++ b/pkg/version/version.go
@@ -1,12 +1,12 @@
-// Package version names the version of the programs.
+// Package version reports the version of the programs.
 package version
 
 import "runtime/debug"
 
-// Number is the version that is being worked on.
+// Number is the version under development.
 const Number = "0.1.0"
 
-// String returns the version and, where the build knows it, the commit.
+// String returns the version, followed by the VCS revision if the build recorded one.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
