--- a/cmd/headhill/cmds/cmds.go
+++ b/cmd/headhill/cmds/cmds.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of the daemon.
+// Package cmds implements the commands of headhill.
 package cmds
 
 import (
@@ -29,10 +29,10 @@
 	return 0
 }
 
-// New returns the program's command line.
+// New returns the root command.
 func New(out, errOut io.Writer) *cli.Command {
-	file := &cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "the box's settings `FILE`", Required: true}
-	outputs := &cli.StringFlag{Name: "log-output", Usage: "debug logs of these `SUBSYSTEMS`, separated by commas"}
+	configFile := &cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "the box's settings `FILE`", Required: true}
+	logOutput := &cli.StringFlag{Name: "log-output", Usage: "debug logs of these `SUBSYSTEMS`, separated by commas"}
 	return &cli.Command{
 		Name:      "headhill",
 		Usage:     "route language-model traffic by service level and priority",
@@ -43,7 +43,7 @@
 			{
 				Name:  "serve",
 				Usage: "run the daemon of this box",
-				Flags: []cli.Flag{file, outputs},
+				Flags: []cli.Flag{configFile, logOutput},
 				Action: func(_ context.Context, c *cli.Command) error {
 					return serve(c.String("config"), c.String("log-output"), errOut)
 				},
@@ -51,7 +51,7 @@
 			{
 				Name:  "route",
 				Usage: "run this box as a router by host and path, on the operators' platform",
-				Flags: []cli.Flag{file, outputs},
+				Flags: []cli.Flag{configFile, logOutput},
 				Action: func(_ context.Context, c *cli.Command) error {
 					return route(c.String("config"), c.String("log-output"), out)
 				},
@@ -59,9 +59,9 @@
 			{
 				Name:  "check",
 				Usage: "check the settings and say everything that is wrong with them",
-				Flags: []cli.Flag{file, &cli.BoolFlag{Name: "route", Usage: "the settings are those of `headhill route`"}},
+				Flags: []cli.Flag{configFile, &cli.BoolFlag{Name: "route", Usage: "the settings are those of `headhill route`"}},
 				Action: func(_ context.Context, c *cli.Command) error {
-					if err := check(c.String("config"), c.Bool("route")); err != nil {
+					if err := validateSettings(c.String("config"), c.Bool("route")); err != nil {
 						return err
 					}
 					fmt.Fprintln(out, "settings are good")
@@ -72,8 +72,8 @@
 	}
 }
 
-// check says what is wrong with the settings of a daemon.
-func check(file string, route bool) error {
+// validateSettings checks a settings file, that of `headhill route` if route is set.
+func validateSettings(file string, route bool) error {
 	if route {
 		_, err := routerd.LoadSettings(file)
 		return err
@@ -86,15 +86,15 @@
 	return err
 }
 
-// serve runs the daemon until a signal ends it. The first SIGTERM or SIGINT is a
-// planned stop, the second cuts off what is still in progress.
-func serve(file, outputs string, w io.Writer) error {
+// serve runs the daemon until SIGTERM or SIGINT. The first signal starts a graceful stop, the
+// second cancels the requests still in flight.
+func serve(file, debugSubsystems string, w io.Writer) error {
 	s, err := settings.Load(file)
 	if err != nil {
 		return err
 	}
-	if outputs != "" {
-		if s.Log.Output, err = logflags.ParseSubsystems(outputs); err != nil {
+	if debugSubsystems != "" {
+		if s.Log.Output, err = logflags.ParseSubsystems(debugSubsystems); err != nil {
 			return err
 		}
 	}
@@ -111,7 +111,7 @@
 	defer cancel()
 	go func() {
 		<-signals
-		_ = level.Warn(logs.For(logflags.Box)).Log("msg", "second signal: what is in progress is cut off", "in_progress", b.InProgress())
+		_ = level.Warn(logs.For(logflags.Box)).Log("msg", "received second signal, cancelling requests in flight", "in_progress", b.InProgress())
 		cancel()
 	}()
 	b.Stop(ctx)
--- a/cmd/headhill/cmds/route.go
+++ b/cmd/headhill/cmds/route.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	// reloadCheck is how often the settings file is looked at for changes.
-	reloadCheck = 2 * time.Second
-	// logsClose bounds the writing of the last log lines.
-	logsClose = 200 * time.Millisecond
+	// reloadCheckInterval is the interval between checks of the settings file for changes.
+	reloadCheckInterval = 2 * time.Second
+	// logCloseTimeout bounds the time for writing queued log lines on exit.
+	logCloseTimeout = 200 * time.Millisecond
 )
 
-// route runs a routing box until SIGTERM or SIGINT. SIGHUP, or a settings file that
-// has changed, reloads the settings.
-func route(file, outputs string, w io.Writer) error {
+// route runs a routing box until SIGTERM or SIGINT. It reloads the settings on SIGHUP and when
+// the settings file changes.
+func route(file, debugSubsystems string, w io.Writer) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	s, err := routerd.LoadSettings(file)
 	if err != nil {
 		return err
 	}
-	if outputs != "" {
-		if s.Log.Output, err = logflags.ParseSubsystems(outputs); err != nil {
+	if debugSubsystems != "" {
+		if s.Log.Output, err = logflags.ParseSubsystems(debugSubsystems); err != nil {
 			return err
 		}
 	}
 	writer := logflags.NewAsyncWriter(w)
-	defer writer.Close(logsClose)
+	defer writer.Close(logCloseTimeout)
 	logs := logflags.New(writer, s.Log.Format, s.Log.Level, s.Log.Output)
-	d, err := routerd.New(s, adapter(), logs)
+	d, err := routerd.New(s, newAdapter(), logs)
 	if err != nil {
 		return err
 	}
 	d.Start()
-	watch := newFileWatch(file)
-	ticker := time.NewTicker(reloadCheck)
+	watcher := newFileWatcher(file)
+	ticker := time.NewTicker(reloadCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -59,7 +59,7 @@
 				return nil
 			}
 		case <-ticker.C:
-			if !watch.changed() {
+			if !watcher.changed() {
 				continue
 			}
 		}
@@ -67,7 +67,8 @@
 	}
 }
 
-func adapter() routerd.Adapter {
+// newAdapter returns the adapter for the operators' platform.
+func newAdapter() routerd.Adapter {
 	return routerd.Adapter{
 		Protocol: platform.Protocol{},
 		Source: func(access routerd.StoreAccess) directory.Source {
@@ -89,30 +90,31 @@
 func reload(d *routerd.Daemon, file string, logs *logflags.Loggers) {
 	s, err := routerd.LoadSettings(file)
 	if err != nil {
-		_ = level.Error(logs.For(logflags.Box)).Log("msg", "settings not reloaded", "err", err, "outcome", "the old ones stay in force")
+		_ = level.Error(logs.For(logflags.Box)).Log("msg", "settings not reloaded", "err", err, "outcome", "previous settings stay in effect")
 		return
 	}
 	d.Reload(s)
 }
 
-// fileWatch tells whether a file has changed since it was last asked.
-type fileWatch struct {
-	path string
-	last time.Time
-	size int64
+// fileWatcher detects changes of a file by its modification time and size.
+type fileWatcher struct {
+	path    string
+	modTime time.Time
+	size    int64
 }
 
-func newFileWatch(path string) *fileWatch {
-	f := &fileWatch{path: path}
+func newFileWatcher(path string) *fileWatcher {
+	f := &fileWatcher{path: path}
 	f.changed()
 	return f
 }
 
-func (f *fileWatch) changed() bool {
+// changed reports whether the file has changed since the last call.
+func (f *fileWatcher) changed() bool {
 	info, err := os.Stat(f.path)
-	if err != nil || info.ModTime().Equal(f.last) && info.Size() == f.size {
+	if err != nil || info.ModTime().Equal(f.modTime) && info.Size() == f.size {
 		return false
 	}
-	f.last, f.size = info.ModTime(), info.Size()
+	f.modTime, f.size = info.ModTime(), info.Size()
 	return true
 }
--- a/cmd/headhill/main.go
+++ b/cmd/headhill/main.go
@@ -1,4 +1,4 @@
-// Headhill is the daemon of an entry box.
+// Command headhill runs the daemon of an entry box or a routing box.
 package main
 
 import (
--- a/cmd/headhill/path_test.go
+++ b/cmd/headhill/path_test.go
@@ -35,8 +35,9 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 }
 
-// direct asks an engine itself for the answer to a request of this ID.
-func direct(t *testing.T, address, id, content string) [][]byte {
+// askEngine sends a chat request with this ID directly to an engine and returns the events of
+// the answer.
+func askEngine(t *testing.T, address, id, content string) [][]byte {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":%q}]}`, localfleet.Model, content)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
@@ -57,14 +58,15 @@
 	}
 }
 
+// Covers calls, a planned stop and a kill with each box running as a separate process.
 func TestPathOfProcesses(t *testing.T) {
 	withProcesses(t, func(ctx context.Context, f *fleet) {
-		t.Run("byte for byte", func(t *testing.T) {
+		t.Run("answer equals the engine's byte for byte", func(t *testing.T) {
 			for _, d := range f.daemons {
 				a, err := localfleet.Chat(ctx, d.caller, "from "+d.id, nil)
 				require.NoError(t, err)
 				require.True(t, a.Clean, a.Text)
-				want := direct(t, f.engines[0], a.Header.Get(api.HeaderRequestID), "from "+d.id)
+				want := askEngine(t, f.engines[0], a.Header.Get(api.HeaderRequestID), "from "+d.id)
 				require.Equal(t, want, a.Events)
 			}
 		})
@@ -74,26 +76,27 @@
 			require.Equal(t, "POST /check?id=7 paper", a.Text)
 			require.Equal(t, api.OutcomeDone, a.Outcome)
 		})
-		t.Run("200 callers", func(t *testing.T) { manyCallers(ctx, t, f.daemons, 200) })
-		t.Run("planned stop under load", func(t *testing.T) { plannedStop(ctx, t, f) })
+		t.Run("200 callers", func(t *testing.T) { chatConcurrently(ctx, t, f.daemons, 200) })
+		t.Run("planned stop under load", func(t *testing.T) { stopUnderLoad(ctx, t, f) })
 		t.Run("kill", func(t *testing.T) {
 			f.daemons[1].signal(t, syscall.SIGKILL)
-			manyCallers(ctx, t, f.daemons[2:], 50)
+			chatConcurrently(ctx, t, f.daemons[2:], 50)
 		})
 	})
 }
 
-// manyCallers sends n requests at once and checks that each got its own answer.
-func manyCallers(ctx context.Context, t *testing.T, daemons []*daemon, n int) {
+// chatConcurrently sends n concurrent requests and checks that each receives its own answer.
+func chatConcurrently(ctx context.Context, t *testing.T, daemons []*daemon, n int) {
 	t.Helper()
 	p := pool.New().WithErrors()
 	for i := range n {
-		p.Go(func() error { return ownAnswer(ctx, daemons[i%len(daemons)].caller, fmt.Sprintf("caller-%d", i)) })
+		p.Go(func() error { return checkAnswer(ctx, daemons[i%len(daemons)].caller, fmt.Sprintf("caller-%d", i)) })
 	}
 	require.NoError(t, p.Wait())
 }
 
-func ownAnswer(ctx context.Context, base, content string) error {
+// checkAnswer returns an error unless the request is answered completely and with its own answer.
+func checkAnswer(ctx context.Context, base, content string) error {
 	a, err := localfleet.Chat(ctx, base, content, nil)
 	if err != nil {
 		return err
@@ -105,33 +108,33 @@
 	return nil
 }
 
-// plannedStop sends SIGTERM to a daemon whose callers stream and wait.
-func plannedStop(ctx context.Context, t *testing.T, f *fleet) {
+// stopUnderLoad sends SIGTERM to a daemon with requests streaming and queued.
+func stopUnderLoad(ctx context.Context, t *testing.T, f *fleet) {
 	t.Helper()
 	p := pool.New().WithErrors()
 	for i := range 100 {
-		p.Go(func() error { return ownAnswer(ctx, f.daemons[0].caller, fmt.Sprintf("stopping-%d", i)) })
+		p.Go(func() error { return checkAnswer(ctx, f.daemons[0].caller, fmt.Sprintf("stopping-%d", i)) })
 	}
 	time.Sleep(50 * time.Millisecond)
 	f.daemons[0].signal(t, syscall.SIGTERM)
-	require.NoError(t, p.Wait(), "the planned stop cut a request off")
+	require.NoError(t, p.Wait(), "a request failed during the planned stop")
 	select {
 	case err := <-f.daemons[0].done:
 		require.NoError(t, err)
 	case <-time.After(20 * time.Second):
-		t.Fatal("the stopped daemon does not end")
+		t.Fatal("the daemon did not exit after SIGTERM")
 	}
 }
 
-func TestExampleSettingsLoad(t *testing.T) {
+func TestExampleSettingsAreDefaults(t *testing.T) {
 	file := filepath.Join("..", "..", "docs", "examples", "box.ini")
 	s, err := settings.Load(file)
 	require.NoError(t, err)
 	want := settings.Default().Limits
-	require.Equal(t, want, s.Limits, "the example shows the defaults")
+	require.Equal(t, want, s.Limits, "the example must show the defaults")
 }
 
-func TestCheckFailsOnBadSettings(t *testing.T) {
+func TestCheckReportsAllProblems(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "bad.ini")
 	require.NoError(t, os.WriteFile(file, []byte("[box]\nid = UPPER\n[listen]\ncaller = nowhere\n[limits]\nbody = many\nbodi = 1\n"), 0o600))
 	p := start(t, "headhill", "check", "-c", file)
@@ -145,8 +148,8 @@
 	}
 }
 
-// A daemon that owns shards is frozen, others take over, and it resumes in the
-// middle of things: no caller of theirs gets anything but its own whole answer.
+// Guards against wrong or partial answers when the owner of a shard is suspended with SIGSTOP,
+// other boxes take over its shards, and it resumes.
 func TestFrozenOwnerResumes(t *testing.T) {
 	withProcesses(t, func(ctx context.Context, f *fleet) {
 		owner := f.ownerOf(ctx, t, "engines")
@@ -160,36 +163,36 @@
 		for i := range 120 {
 			p.Go(func() error {
 				time.Sleep(time.Duration(i) * 30 * time.Millisecond)
-				return ownAnswer(ctx, others[i%2].caller, fmt.Sprintf("frozen-%d", i))
+				return checkAnswer(ctx, others[i%2].caller, fmt.Sprintf("frozen-%d", i))
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
 		f.daemons[owner].signal(t, syscall.SIGSTOP)
 		time.Sleep(2500 * time.Millisecond)
-		g := f.change(ctx, t, (owner+1)%3)
+		generation := f.addClass(ctx, t, (owner+1)%3)
 		f.daemons[owner].signal(t, syscall.SIGCONT)
 		require.NoError(t, p.Wait())
-		// What was accepted while it was frozen is in force on it too.
+		// The resumed daemon must apply the configuration accepted during the suspension.
 		require.Eventually(t, func() bool {
-			r, err := adminclient.New(f.daemons[owner].admin, localfleet.OperatorToken).Rollout(ctx, g)
+			r, err := adminclient.New(f.daemons[owner].admin, localfleet.OperatorToken).Rollout(ctx, generation)
 			return err == nil && len(r.InForce) == 3
 		}, 20*time.Second, 20*time.Millisecond)
-		require.NoError(t, ownAnswer(ctx, f.daemons[owner].caller, "after"))
+		require.NoError(t, checkAnswer(ctx, f.daemons[owner].caller, "after"))
 	})
 }
 
-// change puts another class in force through daemon i.
-func (f *fleet) change(ctx context.Context, t *testing.T, i int) uint64 {
+// addClass adds a class to the configuration through daemon i and returns the new generation.
+func (f *fleet) addClass(ctx context.Context, t *testing.T, i int) uint64 {
 	t.Helper()
 	admin := adminclient.New(f.daemons[i].admin, localfleet.OperatorToken)
 	plan, err := admin.Plan(ctx, "[class extra]\ntier = 2\nfirst-token = 1s\n")
 	require.NoError(t, err)
-	g, err := admin.Confirm(ctx, plan)
+	generation, err := admin.Confirm(ctx, plan)
 	require.NoError(t, err)
-	return g
+	return generation
 }
 
-// ownerOf returns the number of the daemon that owns a shard.
+// ownerOf waits until a shard has an owner and returns the index of its daemon.
 func (f *fleet) ownerOf(ctx context.Context, t *testing.T, shard string) int {
 	t.Helper()
 	owner := -1
--- a/cmd/headhill/process_test.go
+++ b/cmd/headhill/process_test.go
@@ -21,13 +21,13 @@
 	"headhill.example/headhill/pkg/localfleet"
 )
 
-// binaries is where TestMain put the programs.
-var binaries string
+// binDir is the directory into which TestMain builds the programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "headhill")
 	if err == nil {
-		binaries = dir
+		binDir = dir
 		build := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "headhill.example/headhill/cmd/...")
 		build.Stderr = os.Stderr
 		err = build.Run()
@@ -41,17 +41,17 @@
 	os.Exit(status)
 }
 
-// process is a program that the test started.
+// process is a program started by a test.
 type process struct {
 	cmd   *exec.Cmd
 	lines chan string
 	done  chan error
 }
 
-// start runs a program and ends it, by its own ID, when the test does.
+// start runs a program and kills it when the test ends.
 func start(t *testing.T, program string, args ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(filepath.Join(binaries, program), args...), lines: make(chan string, 1000), done: make(chan error, 1)}
+	p := &process{cmd: exec.Command(filepath.Join(binDir, program), args...), lines: make(chan string, 1000), done: make(chan error, 1)}
 	r, w := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	require.NoError(t, p.cmd.Start())
@@ -72,8 +72,8 @@
 	return p
 }
 
-// find waits for a line that matches and returns its groups.
-func (p *process) find(t *testing.T, pattern string) []string {
+// waitForLine waits for an output line that matches pattern and returns its submatches.
+func (p *process) waitForLine(t *testing.T, pattern string) []string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
 	timeout := time.After(20 * time.Second)
@@ -86,7 +86,7 @@
 				return m
 			}
 		case <-timeout:
-			t.Fatalf("no line matches %q in:\n%s", pattern, strings.Join(seen, "\n"))
+			t.Fatalf("timed out waiting for a line that matches %q; output:\n%s", pattern, strings.Join(seen, "\n"))
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	require.NoError(t, p.cmd.Process.Signal(s))
 }
 
-// daemon is a box as a process of its own.
+// daemon is a box that runs as a separate process.
 type daemon struct {
 	*process
 	id, caller, peer, admin string
@@ -109,13 +109,13 @@
 		id, platform, config.HashKey(localfleet.OperatorToken))
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	d := &daemon{process: start(t, "headhill", "serve", "-c", file), id: id}
-	m := d.find(t, `msg=listening .*caller=(\S+) peer=(\S+) admin=(\S+)`)
+	m := d.waitForLine(t, `msg=listening .*caller=(\S+) peer=(\S+) admin=(\S+)`)
 	d.caller, d.peer, d.admin = "http://"+m[1], m[2], "http://"+m[3]
 	putJSON(t, platform+"/v1/boxes/"+id, fmt.Sprintf(`{"hall":"north","region":"default","peer":%q,"state":"live"}`, d.peer))
 	return d
 }
 
-// fleet is a set of daemons and stand-ins, each a process of its own.
+// fleet is a set of daemons and stand-ins, each a separate process.
 type fleet struct {
 	platform string
 	engines  []string
@@ -123,13 +123,13 @@
 	daemons  []*daemon
 }
 
-// withProcesses runs fn against three daemons, a platform, two engines and a
-// service that are configured through the operators' tool.
+// withProcesses runs fn against three daemons, a platform, two engines and a service, configured
+// with headhillctl.
 func withProcesses(t *testing.T, fn func(ctx context.Context, f *fleet)) {
 	t.Helper()
 	standin := func(args ...string) string {
 		p := start(t, "headhillctl", append([]string{"standin"}, args...)...)
-		return p.find(t, `^listening on (\S+)$`)[1]
+		return p.waitForLine(t, `^listening on (\S+)$`)[1]
 	}
 	f := &fleet{platform: "http://" + standin("platform")}
 	for range 2 {
@@ -142,21 +142,21 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	for _, d := range f.daemons {
-		d.find(t, "msg=ready")
+		d.waitForLine(t, "msg=ready")
 	}
 	f.configure(ctx, t)
 	fn(ctx, f)
 }
 
-// configure plans and confirms with the operators' tool, as an operator does.
+// configure applies the intent with headhillctl and waits until all daemons have it in force.
 func (f *fleet) configure(ctx context.Context, t *testing.T) {
 	t.Helper()
 	intent := filepath.Join(t.TempDir(), "intent.ini")
 	plan := filepath.Join(t.TempDir(), "plan.json")
 	require.NoError(t, os.WriteFile(intent, []byte(f.intent()), 0o600))
-	f.ctl(ctx, t, "plan", "--out", plan, intent)
-	require.Contains(t, f.ctl(ctx, t, "confirm", plan), "accepted as generation 1")
-	// Each is asked itself: a daemon that has just started may not know the others.
+	f.headhillctl(ctx, t, "plan", "--out", plan, intent)
+	require.Contains(t, f.headhillctl(ctx, t, "confirm", plan), "accepted as generation 1")
+	// Query each daemon: one that has just started may not know all others yet.
 	for _, d := range f.daemons {
 		require.Eventually(t, func() bool {
 			r, err := adminclient.New(d.admin, localfleet.OperatorToken).Rollout(ctx, 1)
@@ -178,9 +178,9 @@
 	return b.String()
 }
 
-func (f *fleet) ctl(ctx context.Context, t *testing.T, args ...string) string {
+func (f *fleet) headhillctl(ctx context.Context, t *testing.T, args ...string) string {
 	t.Helper()
-	cmd := exec.CommandContext(ctx, filepath.Join(binaries, "headhillctl"), args...)
+	cmd := exec.CommandContext(ctx, filepath.Join(binDir, "headhillctl"), args...)
 	cmd.Env = append(os.Environ(), "HEADHILL_ADMIN="+f.daemons[0].admin, "HEADHILL_TOKEN="+localfleet.OperatorToken)
 	out, err := cmd.CombinedOutput()
 	require.NoError(t, err, string(out))
