--- a/cmd/headhill/path_test.go
+++ b/cmd/headhill/path_test.go
@@ -59,7 +59,7 @@
 }
 
 // Covers calls, a planned stop and a kill with each box running as a separate process.
-func TestPathOfProcesses(t *testing.T) {
+func TestRequestsAcrossProcesses(t *testing.T) {
 	withProcesses(t, func(ctx context.Context, f *fleet) {
 		t.Run("answer equals the engine's byte for byte", func(t *testing.T) {
 			for _, d := range f.daemons {
@@ -150,7 +150,7 @@
 
 // Guards against wrong or partial answers when the owner of a shard is suspended with SIGSTOP,
 // other boxes take over its shards, and it resumes.
-func TestFrozenOwnerResumes(t *testing.T) {
+func TestShardOwnerResumesAfterSuspension(t *testing.T) {
 	withProcesses(t, func(ctx context.Context, f *fleet) {
 		owner := f.ownerOf(ctx, t, "engines")
 		var others []*daemon
--- a/pkg/routerd/connections_test.go
+++ b/pkg/routerd/connections_test.go
@@ -42,7 +42,7 @@
 
 // Guards against a stop that closes a keep-alive connection after a request has been read from it
 // but before the handler runs. Such a request must be answered or never reach the handler.
-func TestStopLetsARequestThatWasReadBeAnswered(t *testing.T) {
+func TestStopAnswersRequestAlreadyRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var handled atomic.Int32
--- a/pkg/routerd/join_test.go
+++ b/pkg/routerd/join_test.go
@@ -70,7 +70,7 @@
 
 // Guards against shares of the fleet-wide retry budget that ignore the roster on boxes that never
 // check the store themselves.
-func TestSharesFollowTheRoster(t *testing.T) {
+func TestRetryShareFollowsRoster(t *testing.T) {
 	d, r := newTestDaemon(t, 99)
 	d.join(t.Context())
 	assert.Equal(t, 2, d.spendRetries(), "retry slack of 200 shared by 100 boxes")
