--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -142,11 +142,11 @@
 	d.limiter = fleetlimit.New(s.Box.ID, logs.For(logflags.Balancer))
 	balance.SetLimiter(d.limiter)
 	peerLogger := logs.For(logflags.Peer)
-	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerConn, Known: d.roster.Known, Logger: peerLogger})
+	d.peers = datagram.NewPort(datagram.Deps{Box: s.Box.ID, Conn: d.peerConn, IsPeer: d.roster.IsPeer, Logger: peerLogger})
 	d.checker = announce.New(announce.Deps{
-		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, Look: d.discoverBoxes, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
+		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, RefreshRoster: d.discoverBoxes, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
 	})
-	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, Wait: d.snapshotWait})
+	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, ResponseTimeout: d.snapshotWait})
 	d.sweeper = roster.NewSweeper(d.roster, d.peers, peerLogger)
 	d.sharer = loadshare.New(loadshare.Deps{
 		Box: s.Box.ID, Hall: s.Box.Hall, Port: d.peers, Balancer: balance, Entries: d.roster.Entries, Logger: peerLogger,
@@ -162,7 +162,7 @@
 		return nil, oops.In("telemetry").Wrap(err)
 	}
 	d.retryBudget = retry.NewBudget(d.retryLimits())
-	d.roster.OnChange(d.updateShares)
+	d.roster.OnRefresh(d.updateShares)
 	d.gateway = gateway.New(gateway.Deps{
 		Protocol: a.Protocol, Directory: d.directory, Balancer: balance,
 		Budget: d.retryBudget, Upstream: d.upstream, Quarantine: d.quarantine, Recorder: recorder{metrics}, Usage: d.duties, Logger: logs.For(logflags.Gateway),
@@ -187,7 +187,7 @@
 // is up to date with that revision.
 func (d *Daemon) checkStore(ctx context.Context) (directory.Check, bool) {
 	start := clock.Now()
-	revision, err := d.roster.Check(ctx)
+	revision, err := d.roster.RefreshByRank(ctx)
 	if ctx.Err() != nil {
 		return directory.Check{}, false
 	}
@@ -221,7 +221,7 @@
 // readEvacuations reads the list of evacuated halls from the store if the known one is too old.
 func (d *Daemon) readEvacuations(ctx context.Context) {
 	start := clock.Now()
-	if start.Sub(d.directory.EvacuationsRead()) < d.maxEvacuationsAge() {
+	if start.Sub(d.directory.EvacuationsConfirmedAt()) < d.maxEvacuationsAge() {
 		return
 	}
 	ctx, cancel := stall.WithLimits(ctx, storeLimits)
@@ -244,20 +244,20 @@
 // missed within the time allowed for a change to take effect.
 func (d *Daemon) checkTiming() announce.Timing {
 	apply := d.settings.Load().Bounds.strictest()
-	return announce.Timing{Every: apply * 45 / 100, Spread: apply * 20 / 100}
+	return announce.Timing{Interval: apply * 45 / 100, Stagger: apply * 20 / 100}
 }
 
 // directoryTiming bounds the staleness of the directory, together with checkTiming.
 func (d *Daemon) directoryTiming() directory.Timing {
 	apply := d.settings.Load().Bounds.Apply
 	return directory.Timing{
-		Wait:        watchTimeout,
-		Answer:      storeLimits.FirstByte,
-		AnswerMost:  storeLimits.Total,
-		Lag:         apply * 50 / 100,
-		Collect:     apply * 10 / 100,
-		Backoff:     apply * 3 / 100,
-		BackoffMost: apply * 60 / 100,
+		WatchWait:      watchTimeout,
+		AnswerTimeout:  storeLimits.FirstByte,
+		MaxAnswerTime:  storeLimits.Total,
+		MaxLag:         apply * 50 / 100,
+		BatchDelay:     apply * 10 / 100,
+		InitialBackoff: apply * 3 / 100,
+		MaxBackoff:     apply * 60 / 100,
 	}
 }
 
--- a/pkg/routerd/fleetduties.go
+++ b/pkg/routerd/fleetduties.go
@@ -168,7 +168,7 @@
 func (f *fleetDuties) collectorAddrs() []*net.UDPAddr {
 	holder := f.leaseManager.Holder()
 	var addrs []*net.UDPAddr
-	for i, e := range f.roster.Ordered() {
+	for i, e := range f.roster.ListByRank() {
 		if e.Box == f.publisher.Box || i >= collectorCount && e.Box != holder {
 			continue
 		}
--- a/pkg/routerd/join.go
+++ b/pkg/routerd/join.go
@@ -63,7 +63,7 @@
 // serveSnapshots creates the server from which other boxes fetch snapshots.
 func (d *Daemon) serveSnapshots(logger log.Logger) {
 	server := snapshot.NewServer(snapshot.ServerDeps{
-		Directory: d.directory, KnownHost: d.roster.KnownHost, OnStranger: d.checker.LookWhoIsThere, Boxes: d.roster.Copy, Logger: logger,
+		Directory: d.directory, IsPeerHost: d.roster.IsPeerHost, OnUnknownHost: d.checker.RequestRosterRefresh, Boxes: d.roster.Snapshot, Logger: logger,
 	})
 	d.snapshotListener = netutil.LimitListener(d.snapshotListener, maxSnapshotConns)
 	d.snapshotServer = &http.Server{Handler: server.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
@@ -78,8 +78,8 @@
 	wg.Go(func() { d.completeRoster(d.ctx) })
 	wg.Go(func() { d.checker.Run(d.ctx) })
 	wg.Go(func() {
-		d.directory.Follow(d.ctx, directory.Following{
-			Source: d.source, Providers: d.snapshots, Timing: d.directoryTiming(), Reader: d.roster.Reader,
+		d.directory.Follow(d.ctx, directory.FollowOptions{
+			Source: d.source, Providers: d.snapshots, Timing: d.directoryTiming(), Reader: d.roster.IsReader,
 		})
 	})
 	wg.Wait()
@@ -103,18 +103,18 @@
 	if d.roster.Count() == 1 {
 		d.refreshRosterNow(ctx)
 	}
-	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.Reader(), "after", clock.Since(start))
+	_ = level.Info(d.logger).Log("msg", "joined", "boxes", d.roster.Count(), "providers", len(d.roster.Providers()), "reader", d.roster.IsReader(), "after", clock.Since(start))
 }
 
 // refreshRoster reads a possibly stale roster once.
 func (d *Daemon) refreshRoster(ctx context.Context) error {
-	_, err := d.roster.Look(ctx)
+	_, err := d.roster.RefreshPageStale(ctx)
 	return err
 }
 
 // refreshRosterNow reads the current roster, as a stale one may lack boxes that have just registered.
 func (d *Daemon) refreshRosterNow(ctx context.Context) {
-	if err := d.roster.LookNow(ctx); err != nil {
+	if err := d.roster.RefreshPage(ctx); err != nil {
 		_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "reading table and servers from the store")
 	}
 }
@@ -127,10 +127,10 @@
 	defer d.readingRoster.Store(false)
 	var err error
 	switch {
-	case !d.roster.Whole() && !d.roster.MayRead():
+	case !d.roster.Complete() && !d.roster.IsReaderCandidate():
 		_, err = d.fetchRoster(ctx, true)
-	case d.roster.MayRead() && !d.roster.Reader():
-		_, err = d.roster.Read(ctx)
+	case d.roster.IsReaderCandidate() && !d.roster.IsReader():
+		_, err = d.roster.Refresh(ctx)
 	}
 	if err != nil {
 		_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "retried with the next check")
@@ -142,10 +142,10 @@
 func (d *Daemon) fetchRoster(ctx context.Context, first bool) (bool, error) {
 	c, err := d.snapshots.Boxes(ctx, first)
 	if err == nil {
-		return d.roster.Take(c), nil
+		return d.roster.ApplySnapshot(c), nil
 	}
 	_ = level.Info(d.logger).Log("msg", "failed to fetch roster from another box", "err", err, "outcome", "reading it from the store")
-	return d.roster.LookAll(ctx)
+	return d.roster.RefreshStale(ctx)
 }
 
 // discoverBoxes refreshes the roster and reports whether new boxes were found. It does nothing while
@@ -166,9 +166,9 @@
 // refreshOrFetchRoster reads the roster from the store if that returns all boxes at once, and
 // otherwise fetches it from another box. It reports whether new boxes were found.
 func (d *Daemon) refreshOrFetchRoster(ctx context.Context) (bool, error) {
-	if !d.roster.Partial() {
-		found, err := d.roster.Look(ctx)
-		if err != nil || !d.roster.Partial() {
+	if !d.roster.ListTruncated() {
+		found, err := d.roster.RefreshPageStale(ctx)
+		if err != nil || !d.roster.ListTruncated() {
 			return found, err
 		}
 	}
@@ -178,7 +178,7 @@
 // providers returns the addresses of the boxes from which this one fetches snapshots. If it knows
 // no other box it refreshes the roster first, as earlier reads may have failed.
 func (d *Daemon) providers() []string {
-	if d.roster.Count() == 1 && !d.roster.Reader() {
+	if d.roster.Count() == 1 && !d.roster.IsReader() {
 		if err := d.refreshRoster(d.ctx); err != nil {
 			_ = level.Info(d.logger).Log("msg", "failed to read roster", "err", err, "outcome", "reading table and servers from the store")
 		}
--- a/pkg/routerd/join_test.go
+++ b/pkg/routerd/join_test.go
@@ -23,14 +23,14 @@
 	err      error
 }
 
-func (r *staticRoster) Enter(context.Context, roster.Entry) error { return r.err }
-func (r *staticRoster) Leave(context.Context, roster.Entry) error { return r.err }
-func (r *staticRoster) Some(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
-	entries, revision, err := r.Boxes(ctx, stale)
+func (r *staticRoster) Register(context.Context, roster.Entry) error   { return r.err }
+func (r *staticRoster) Deregister(context.Context, roster.Entry) error { return r.err }
+func (r *staticRoster) ListPage(ctx context.Context, stale bool) ([]roster.Entry, bool, uint64, error) {
+	entries, revision, err := r.List(ctx, stale)
 	return entries, false, revision, err
 }
 
-func (r *staticRoster) Boxes(context.Context, bool) ([]roster.Entry, uint64, error) {
+func (r *staticRoster) List(context.Context, bool) ([]roster.Entry, uint64, error) {
 	r.revision++
 	return r.entries, r.revision, r.err
 }
--- a/pkg/routerd/stop.go
+++ b/pkg/routerd/stop.go
@@ -41,7 +41,7 @@
 	_ = d.callerListener.Close()
 	d.conns.drainAndClose(ctx)
 	d.duties.flush()
-	d.roster.Leave(ctx)
+	d.roster.Deregister(ctx)
 	d.cancel()
 	_ = d.callerServer.Close()
 	_ = d.readyServer.Close()
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -93,7 +93,7 @@
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Caller: "127.0.0.1:8080", Peer: "127.0.0.1:8081", Admin: "127.0.0.1:8082"},
-		Platform: Platform{Prefix: "headhill", CallBudget: callrate.Default},
+		Platform: Platform{Prefix: "headhill", CallBudget: callrate.DefaultBudget},
 		Peers:    Peers{Mode: PeerModeTLS},
 		Limits: Limits{
 			MaxBodyBytes:   4 << 20,
@@ -128,7 +128,7 @@
 	s.Operators = readOperators(f.Section("operators"))
 	readLimits(f.Section("limits"), &s.Limits)
 	s.Log.Read(f.Section("log"))
-	return s, f.Done()
+	return s, f.Finish()
 }
 
 func readBox(s *inifile.Section, b *Box) {
@@ -141,12 +141,12 @@
 	validateName(s, "id", b.ID)
 	validateName(s, "hall", b.Hall)
 	validateName(s, "region", b.Region)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func validateName(s *inifile.Section, key, v string) {
 	if v != "" && !namePattern.MatchString(v) {
-		s.Problem(key, v, nameRemedy)
+		s.AddProblem(key, v, nameRemedy)
 	}
 }
 
@@ -154,7 +154,7 @@
 	s.AddrPort("caller", &l.Caller, true)
 	s.AddrPort("peer", &l.Peer, true)
 	s.AddrPort("admin", &l.Admin, true)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 var urlPattern = regexp.MustCompile(`^https?://[^\s/]+`)
@@ -166,11 +166,11 @@
 	s.String("prefix", &p.Prefix)
 	callrate.ReadSettings(s, &p.CallBudget)
 	if p.URL != "" && !urlPattern.MatchString(p.URL) {
-		s.Problem("url", p.URL, "use an http or https URL, such as http://192.0.2.1:7000")
+		s.AddProblem("url", p.URL, "use an http or https URL, such as http://192.0.2.1:7000")
 	}
 	validateName(s, "prefix", p.Prefix)
 	p.Token = readToken(s, p.TokenFile)
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func readToken(s *inifile.Section, file string) string {
@@ -179,7 +179,7 @@
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
-		s.Problem("token-file", file, "set it to a readable file: "+err.Error())
+		s.AddProblem("token-file", file, "set it to a readable file: "+err.Error())
 	}
 	return string(trimNewline(b))
 }
@@ -202,25 +202,25 @@
 			validateReadable(s, f.key, f.path)
 		}
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func validateReadable(s *inifile.Section, key, path string) {
 	const remedy = "set it to a readable PEM file, or set mode = plain on a trusted network"
 	if path == "" {
-		s.Problem(key, path, remedy)
+		s.AddProblem(key, path, remedy)
 		return
 	}
 	if _, err := os.ReadFile(path); err != nil {
-		s.Problem(key, path, remedy)
+		s.AddProblem(key, path, remedy)
 	}
 }
 
 func readOperators(s *inifile.Section) map[string]string {
-	m := s.All()
+	m := s.Values()
 	for name, hash := range m {
 		if b, err := hex.DecodeString(hash); err != nil || len(b) != 32 {
-			s.Problem(name, hash, "set it to the hex SHA-256 of the operator's token, as printed by `headhillctl key`")
+			s.AddProblem(name, hash, "set it to the hex SHA-256 of the operator's token, as printed by `headhillctl key`")
 		}
 	}
 	return m
@@ -237,5 +237,5 @@
 	s.Duration("answer-timeout", &l.AnswerTimeout, 100*time.Millisecond, time.Hour)
 	s.Duration("stop-notice", &l.StopNotice, 0, time.Minute)
 	s.Duration("stop", &l.StopTimeout, 0, 24*time.Hour)
-	s.Done()
+	s.ReportUnknownKeys()
 }
