--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -146,7 +146,7 @@
 	d.checker = announce.New(announce.Deps{
 		Port: d.peers, Timing: d.checkTiming, Check: d.checkStore, RefreshRoster: d.discoverBoxes, Peers: d.roster.Peers, Rank: d.roster.Rank, Directory: d.directory, Logger: peerLogger,
 	})
-	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, ResponseTimeout: d.snapshotWait})
+	d.snapshots = snapshot.NewClient(snapshot.ClientDeps{Providers: d.providers, ResponseTimeout: d.snapshotTimeout})
 	d.sweeper = roster.NewSweeper(d.roster, d.peers, peerLogger)
 	d.sharer = loadshare.New(loadshare.Deps{
 		Box: s.Box.ID, Hall: s.Box.Hall, Port: d.peers, Balancer: balance, Entries: d.roster.Entries, Logger: peerLogger,
--- a/pkg/routerd/gauges.go
+++ b/pkg/routerd/gauges.go
@@ -16,7 +16,7 @@
 
 // directoryGauges returns gauges for the age and revision of each part of the directory.
 func directoryGauges(d *directory.Directory) []telemetry.Gauge {
-	byPart := func(name, help string, value func(directory.State) int64) telemetry.Gauge {
+	partGauge := func(name, help string, value func(directory.State) int64) telemetry.Gauge {
 		return telemetry.Gauge{Name: name, Help: help, Attribute: "part", Observe: func() map[string]int64 {
 			values := make(map[string]int64)
 			for part, s := range d.States(clock.Now()) {
@@ -27,11 +27,11 @@
 	}
 	return []telemetry.Gauge{
 		{Name: "headhill_table_version", Help: "Version of the routing table.", Attribute: "table", Observe: func() map[string]int64 { return tableVersion(d) }},
-		byPart("headhill_belief_age_milliseconds", "Time since the store last confirmed a part of what this box knows.",
+		partGauge("headhill_belief_age_milliseconds", "Time since the store last confirmed a part of what this box knows.",
 			func(s directory.State) int64 { return s.Age.Milliseconds() }),
-		byPart("headhill_belief_revision", "Revision of the store up to which this box knows a part.",
+		partGauge("headhill_belief_revision", "Revision of the store up to which this box knows a part.",
 			func(s directory.State) int64 { return int64(s.Revision) }),
-		byPart("headhill_store_misses", "Questions of a part that the store has not answered.",
+		partGauge("headhill_store_misses", "Questions of a part that the store has not answered.",
 			func(s directory.State) int64 { return int64(s.Failures) }),
 	}
 }
--- a/pkg/routerd/join.go
+++ b/pkg/routerd/join.go
@@ -27,12 +27,12 @@
 	// joinTimeout is how long a box retries failed roster reads before it goes on without peers and
 	// reads table and servers from the store. Many boxes that do so at once saturate the store's link.
 	joinTimeout = 500 * time.Millisecond
-	// snapshotWaitShare is the timeout for the first byte of a snapshot from another box, as a
+	// snapshotTimeoutShare is the timeout for the first byte of a snapshot from another box, as a
 	// fraction of BoundSettings.Apply. The rest of that time must suffice to read a large table from
 	// the store instead.
-	snapshotWaitShare = 0.15
-	// maxSnapshotConns limits the connections of boxes that fetch snapshots, which may be all boxes
-	// of a hall.
+	snapshotTimeoutShare = 0.15
+	// maxSnapshotConns limits the connections over which other boxes fetch snapshots. All boxes of a
+	// hall may fetch from the same one.
 	maxSnapshotConns = 512
 	// peerListenAttempts limits the attempts to find a port that is free for both TCP and UDP if the
 	// settings allow any port.
@@ -137,12 +137,13 @@
 	}
 }
 
-// fetchRoster fetches the roster from another box, or from the store if that fails. It reports
-// whether new boxes were found.
+// fetchRoster fetches the roster from another box, or from the store if that fails. On the first
+// fetch it waits for boxes that are still reading the roster themselves. It reports whether new boxes
+// were found.
 func (d *Daemon) fetchRoster(ctx context.Context, first bool) (bool, error) {
-	c, err := d.snapshots.Boxes(ctx, first)
+	snap, err := d.snapshots.Boxes(ctx, first)
 	if err == nil {
-		return d.roster.ApplySnapshot(c), nil
+		return d.roster.ApplySnapshot(snap), nil
 	}
 	_ = level.Info(d.logger).Log("msg", "failed to fetch roster from another box", "err", err, "outcome", "reading it from the store")
 	return d.roster.RefreshStale(ctx)
@@ -191,7 +192,7 @@
 	return addresses
 }
 
-// snapshotWait returns the timeout for the first byte of a snapshot.
-func (d *Daemon) snapshotWait() time.Duration {
-	return time.Duration(snapshotWaitShare * float64(d.settings.Load().Bounds.Apply))
+// snapshotTimeout returns the timeout for the first byte of a snapshot.
+func (d *Daemon) snapshotTimeout() time.Duration {
+	return time.Duration(snapshotTimeoutShare * float64(d.settings.Load().Bounds.Apply))
 }
