--- a/pkg/snapshot/boxes_test.go
+++ b/pkg/snapshot/boxes_test.go
@@ -17,9 +17,8 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// A box that starts has the boxes from one that knows all of them, and waits while that reads them
-// itself.
-func TestBoxesAreHadFromAnother(t *testing.T) {
+// A starting box fetches the roster from another box, and waits while that box is loading it.
+func TestRosterIsFetchedFromPeer(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 985 {
 		entries = append(entries, roster.Entry{Box: fmt.Sprintf("box-%d", i), Hall: "hall", Peer: "192.0.2.1:1", Incarnation: uint64(i)})
