--- a/tools/generate.sh
+++ b/tools/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates the committed code of the protocols between boxes. Needs nothing but Go.
+# Regenerates the committed Go code of all .proto files. Requires only Go.
 set -eu
 cd "$(dirname "$0")/.."
 bin=$(mktemp -d)
--- a/tools/play.sh
+++ b/tools/play.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of a folder on a site and names those that broke a rule.
+# Runs every scenario file of a directory against a site file with the benchmark tool BENCH, and
+# lists the runs that failed or violated a rule. WHY is recorded with each run.
 # usage: tools/play.sh BENCH SITE DIR WHY
 set -u
 bench=$1 site=$2 dir=$3 why=$4
