--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -204,10 +204,10 @@
 
 func (d *Daemon) logStoreState(revision uint64, err error) {
 	if err != nil {
-		_ = level.Warn(d.logger).Log("msg", "store lost", "err", err, "outcome", "cached routing data stays in use")
+		_ = level.Warn(d.logger).Log("msg", "store unreachable", "err", err, "outcome", "cached routing data stays in use")
 		return
 	}
-	_ = level.Info(d.logger).Log("msg", "store regained", "revision", revision)
+	_ = level.Info(d.logger).Log("msg", "store reachable again", "revision", revision)
 }
 
 const (
