--- a/pkg/measure/result.go
+++ b/pkg/measure/result.go
@@ -131,11 +131,9 @@
 	}
 }
 
-func (r *Result) addProcessedTokens(prefilled, generated int) {
-	r.processedTokens += prefilled + generated
-}
+func (r *Result) addProcessed(prefilled, generated int) { r.processedTokens += prefilled + generated }
 
-func (r *Result) addWastedTokens(tokens int) { r.wastedTokens += tokens }
+func (r *Result) addWasted(tokens int) { r.wastedTokens += tokens }
 
 func (r *Result) recordEnd(c *call, completed bool, now time.Duration) {
 	cr := r.byClass[c.class.Name]
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -342,7 +342,7 @@
 	c.server = i
 	r.result.recordStart(c, r.now)
 	q := s.add(r.now, c)
-	r.result.addWastedTokens(min(q.prefillLeft, c.lostTokens))
+	r.result.addWasted(min(q.prefillLeft, c.lostTokens))
 	c.lostTokens = 0
 	s.recordLoad(r.now)
 	if r.baseline {
@@ -361,7 +361,7 @@
 		s := r.servers[c.server]
 		for _, q := range s.running {
 			if q.call == c {
-				r.result.addWastedTokens(q.prefilled)
+				r.result.addWasted(q.prefilled)
 			}
 		}
 		s.remove(r.now, c)
@@ -382,7 +382,7 @@
 		}
 		s.stepping = false
 		ended, prefilled, generated := s.step(r.now)
-		r.result.addProcessedTokens(prefilled, generated)
+		r.result.addProcessed(prefilled, generated)
 		for _, q := range ended {
 			r.completeCall(q)
 		}
@@ -419,7 +419,7 @@
 		c.server = -1
 		c.lostTokens = q.prefilled + q.generated
 		if r.baseline {
-			r.result.addWastedTokens(c.delivered)
+			r.result.addWasted(c.delivered)
 			c.delivered = 0
 		}
 		r.policy.finish(r.now, c, scheduler.Completion{Result: scheduler.ResultFailed, OutputTokens: q.generated})
