--- a/pkg/measure/scenario.go
+++ b/pkg/measure/scenario.go
@@ -41,7 +41,7 @@
 type Scenario struct {
 	Name    string
 	Classes []ClassLoad
-	// MaxBatch is the number of sequences that one engine batches.
+	// MaxBatch is the largest number of sequences in a batch of one engine.
 	Servers, EnginesPerServer, MaxBatch int
 	// The time of a step is StepBase, plus StepPerSequence for each sequence of the
 	// engine, plus PrefillPerToken for each prompt token to prefill.
@@ -102,7 +102,7 @@
 			{Class: newClass("summary", 2, .05, 150, 5*second, 80*time.Millisecond), Deadline: 40 * second, BaseShare: .2, BurstShare: .8, PromptTokensMedian: 1500, OutputTokensMedian: 150, PromptTokensSigma: .6, OutputTokensSigma: .9},
 			{Class: newClass("appraisal", 3, .05, 200, 60*second, 0), Deadline: 300 * second, BaseShare: .4, BurstShare: 1.6, PromptTokensMedian: 2000, OutputTokensMedian: 300, PromptTokensSigma: .6, OutputTokensSigma: 1},
 		},
-		// The modelled site has 48 engines; every server here has the same number, 45 in all.
+		// The modelled site has 48 engines; 5 on each of the 9 servers make 45.
 		Servers: 9, EnginesPerServer: 5, MaxBatch: 8,
 		StepBase: 4 * time.Millisecond, StepPerSequence: 600 * time.Microsecond, PrefillPerToken: 8 * time.Microsecond,
 		CachedPrefixes: 24, Prefixes: 12, Weights: organisationWeights,
