--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -65,7 +65,7 @@
 }
 
 // New opens a box's ports and puts its parts together. Nothing runs before Start.
-func New(s settings.Settings, logs *logflags.Logs) (*Box, error) {
+func New(s settings.Settings, logs *logflags.Loggers) (*Box, error) {
 	security, err := peer.LoadSecurity(s.Peers)
 	if err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 	}
 }
 
-func (b *Box) assemble(logs *logflags.Logs) {
+func (b *Box) assemble(logs *logflags.Loggers) {
 	s := b.settings
-	b.platform = objectstore.NewClient(s.Platform.URL, s.Platform.Token, s.Platform.Rates)
+	b.platform = objectstore.NewClient(s.Platform.URL, s.Platform.Token, s.Platform.CallBudget)
 	b.store = config.NewStore(b.platform, s.Platform.Prefix, logs.For(logflags.Config))
 	b.tracker = membership.NewTracker(objectstore.Box{
 		ID: s.Box.ID, Hall: s.Box.Hall, Region: s.Box.Region,
@@ -130,7 +130,7 @@
 	b.callers = b.entry.Server()
 	b.admins = admin.NewHandler(admin.Deps{
 		Operators: s.Operators, Store: b.store, Fleet: b, Metrics: b.metrics,
-		Logger: logs.For(logflags.Admin), Ready: b.Ready, Spread: b.spread,
+		Logger: logs.For(logflags.Admin), Ready: b.Ready, AwaitReplication: b.spread,
 	}).Server()
 	b.peers = peer.NewServer(b.security, b.self, b.runner, &peerCalls{Box: b}, logs.For(logflags.Peer))
 }
@@ -138,7 +138,7 @@
 // Start begins to serve.
 func (b *Box) Start() {
 	for _, f := range []func(){
-		func() { b.store.Follow(b.ctx, config.Collect) },
+		func() { b.store.Follow(b.ctx, config.MaxFollowDelay) },
 		b.followRoster,
 		b.followPeers,
 		b.followView,
--- a/pkg/intent/parse.go
+++ b/pkg/intent/parse.go
@@ -9,7 +9,7 @@
 	"headhill.example/headhill/pkg/inifile"
 )
 
-// Defaults for what an intent leaves out.
+// Default values of omitted keys.
 const (
 	defaultFloor       = 0.03
 	defaultFloorPlaces = 4
@@ -21,39 +21,40 @@
 
 const maxDuration = time.Hour
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$`)
 
 const nameRemedy = "name it with 1 to 64 of a-z, 0-9, dot, dash and underscore"
 
-// Parse reads an intent. All its faults come in one *inifile.Error.
+// Parse parses an intent. All problems are returned in one *inifile.Error; text
+// that is not INI returns an *inifile.SyntaxError.
 func Parse(text []byte) (config.Change, error) {
 	f, err := inifile.Load("intent", text)
 	if err != nil {
 		return config.Change{}, err
 	}
 	var c config.Change
-	for _, s := range items(f, config.KindClass, &c) {
+	for _, s := range sectionsToSet(f, config.KindClass, &c) {
 		c.Classes = append(c.Classes, readClass(s))
 	}
-	for _, s := range items(f, config.KindOrganisation, &c) {
+	for _, s := range sectionsToSet(f, config.KindOrganisation, &c) {
 		c.Organisations = append(c.Organisations, readOrganisation(s))
 	}
-	for _, s := range items(f, config.KindService, &c) {
+	for _, s := range sectionsToSet(f, config.KindService, &c) {
 		c.Services = append(c.Services, readService(s))
 	}
-	for _, s := range items(f, config.KindServer, &c) {
+	for _, s := range sectionsToSet(f, config.KindServer, &c) {
 		c.Servers = append(c.Servers, readServer(s))
 	}
-	return c, f.Done()
+	return c, f.Finish()
 }
 
-// items returns the sections of a kind that set an item, and notes in c the ones
-// that remove one.
-func items(f *inifile.File, kind config.Kind, c *config.Change) []*inifile.Section {
+// sectionsToSet returns the sections that define an item of the given kind. Items
+// to remove are added to c.
+func sectionsToSet(f *inifile.File, kind config.ItemKind, c *config.Change) []*inifile.Section {
 	var list []*inifile.Section
-	for _, s := range f.Named(string(kind)) {
-		if !nameForm.MatchString(s.Name) {
-			s.Problem("", s.Name, nameRemedy)
+	for _, s := range f.NamedSections(string(kind)) {
+		if !namePattern.MatchString(s.Name) {
+			s.AddProblem("", s.Name, nameRemedy)
 		}
 		remove := false
 		s.Bool("remove", &remove)
@@ -61,7 +62,7 @@
 			list = append(list, s)
 			continue
 		}
-		s.Done()
+		s.ReportUnknownKeys()
 		c.Remove = append(c.Remove, config.Ref{Kind: kind, Name: s.Name})
 	}
 	return list
@@ -84,7 +85,7 @@
 	s.Duration("between-tokens", &c.Between, 0, maxDuration)
 	s.Duration("deadline", &c.Deadline, time.Millisecond, 24*time.Hour)
 	s.List("servers", &c.Servers)
-	s.Done()
+	s.ReportUnknownKeys()
 	return c
 }
 
@@ -98,29 +99,29 @@
 	s.Float("requests-per-second", &o.Requests, 0, 1e6)
 	s.Float("tokens-per-second", &o.Tokens, 0, 1e9)
 	s.Int("concurrency", &o.Concurrency, 0, 1e6)
-	s.Done()
+	s.ReportUnknownKeys()
 	for _, h := range o.KeyHashes {
 		if b, err := hex.DecodeString(h); err != nil || len(b) != 32 {
-			s.Problem("key-sha256", h, "write the hex SHA-256 that `headhillctl key` prints; the key itself is never stored")
+			s.AddProblem("key-sha256", h, "write the hex SHA-256 that `headhillctl key` prints; the key itself is never stored")
 		}
 	}
 	return o
 }
 
 func readService(s *inifile.Section) config.Service {
-	v := config.Service{Name: s.Name, Queue: defaultQueue, Kind: config.KindEngine, Repeatable: true}
-	s.OneOf("kind", &v.Kind, config.KindEngine, config.KindPlain)
+	v := config.Service{Name: s.Name, Queue: defaultQueue, Kind: config.ServiceKindEngine, Repeatable: true}
+	s.OneOf("kind", &v.Kind, config.ServiceKindEngine, config.ServiceKindPlain)
 	s.List("models", &v.Models)
 	s.String("class", &v.Class)
 	s.Bool("repeatable", &v.Repeatable)
 	s.Int("queue", &v.Queue, 1, 100000)
 	s.Int("headroom", &v.Headroom, 0, 10000)
-	s.Done()
+	s.ReportUnknownKeys()
 	return v
 }
 
 func readServer(s *inifile.Section) config.Server {
-	v := config.Server{Name: s.Name, Slots: defaultSlots, State: config.StateActive}
+	v := config.Server{Name: s.Name, Slots: defaultSlots, State: config.ServerStateActive}
 	s.Require("service", "name the service it belongs to")
 	s.Require("hall", "name the hall it stands in")
 	s.Require("address", "write its IP address and port")
@@ -129,7 +130,7 @@
 	s.AddrPort("address", &v.Address, false)
 	s.Int("slots", &v.Slots, 1, 4096)
 	s.Bool("checks-fences", &v.Fences)
-	s.OneOf("state", &v.State, config.StateActive, config.StateLeaving)
-	s.Done()
+	s.OneOf("state", &v.State, config.ServerStateActive, config.ServerStateLeaving)
+	s.ReportUnknownKeys()
 	return v
 }
--- a/pkg/intent/plan.go
+++ b/pkg/intent/plan.go
@@ -10,74 +10,77 @@
 	"headhill.example/headhill/pkg/config"
 )
 
-// Verbs of a plan's lines.
+// Verbs of an ItemDiff.
 const (
 	VerbAdd    = "add"
 	VerbChange = "change"
 	VerbRemove = "remove"
 )
 
-// Line is one item that a plan changes.
-type Line struct {
-	Verb string      `json:"verb"`
-	Kind config.Kind `json:"kind"`
-	Name string      `json:"name"`
-	// Fields lists what differs, for a change.
-	Fields []Field `json:"fields,omitempty"`
+// ItemDiff describes the change of one item.
+type ItemDiff struct {
+	Verb string          `json:"verb"`
+	Kind config.ItemKind `json:"kind"`
+	Name string          `json:"name"`
+	// Fields lists the fields that differ; empty unless Verb is VerbChange.
+	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// Field is one difference.
-type Field struct {
+// FieldDiff is the old and new value of a field. Operators see the Go names of the
+// fields of package config here.
+type FieldDiff struct {
 	Name string `json:"name"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
 }
 
-// Plan is what an intent will change. It carries all that confirming it needs,
-// so that any box can confirm it.
+// Plan is the change that an intent leads to. It is self-contained, so that any
+// box can confirm it.
 type Plan struct {
-	ID       string        `json:"id"`
+	// ID is a hash of Base and Change.
+	ID string `json:"id"`
+	// Base is the generation that the plan was computed for.
 	Base     uint64        `json:"base_generation"`
 	Change   config.Change `json:"change"`
-	Lines    []Line        `json:"lines"`
+	Diffs    []ItemDiff    `json:"lines"`
 	Warnings []string      `json:"warnings,omitempty"`
 }
 
-// TamperedError says that a plan's content does not match its ID.
+// TamperedError reports a plan whose content does not match its ID.
 type TamperedError struct{}
 
 func (e *TamperedError) Error() string {
 	return "the plan was altered after it was made: plan again"
 }
 
-// NothingError says that an intent changes nothing.
-type NothingError struct{ Generation uint64 }
+// NoChangeError reports an intent that matches the current configuration.
+type NoChangeError struct{ Generation uint64 }
 
-func (e *NothingError) Error() string {
+func (e *NoChangeError) Error() string {
 	return fmt.Sprintf("the intent says what generation %d already has: there is nothing to confirm", e.Generation)
 }
 
-// Make plans a change on a state. The error is *config.InvalidError,
-// *NothingError or *UnknownItemError.
-func Make(st *config.State, wanted config.Change) (Plan, error) {
+// NewPlan returns the plan that leads from st to the wanted items. The error is a
+// *config.ValidationError, *NoChangeError or *UnknownItemError.
+func NewPlan(st *config.State, wanted config.Change) (Plan, error) {
 	p := Plan{Base: st.Generation}
-	if err := diff(st, wanted, &p); err != nil {
+	if err := diffState(st, wanted, &p); err != nil {
 		return Plan{}, err
 	}
 	if p.Change.Empty() {
-		return Plan{}, &NothingError{Generation: st.Generation}
+		return Plan{}, &NoChangeError{Generation: st.Generation}
 	}
 	next := st.Apply(p.Change)
 	if err := next.Validate(); err != nil {
 		return Plan{}, err
 	}
-	p.Warnings = warnings(st, next, p.Lines)
+	p.Warnings = warnings(st, next, p.Diffs)
 	p.ID = planID(p.Base, p.Change)
 	return p, nil
 }
 
-// Check tells whether a plan is as it was made.
-func (p *Plan) Check() error {
+// Verify returns a *TamperedError if the plan's content does not match its ID.
+func (p *Plan) Verify() error {
 	if p.ID == "" || p.ID != planID(p.Base, p.Change) {
 		return &TamperedError{}
 	}
@@ -85,7 +88,7 @@
 }
 
 func planID(base uint64, c config.Change) string {
-	// Plain structs always encode.
+	// Marshal cannot fail for these types.
 	b, _ := json.Marshal(c)
 	h := sha256.New()
 	fmt.Fprintf(h, "%d\n", base)
@@ -93,29 +96,30 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// UnknownItemError says that an intent removes what does not exist.
+// UnknownItemError reports that an intent removes an item that does not exist.
 type UnknownItemError struct{ config.Ref }
 
 func (e *UnknownItemError) Error() string {
 	return fmt.Sprintf("%s %s does not exist: there is nothing to remove; check the name", e.Kind, e.Name)
 }
 
-func diff(st *config.State, w config.Change, p *Plan) error {
-	for _, r := range w.Remove {
-		if !exists(st, r) {
+// diffState fills in the change and the item diffs of p.
+func diffState(st *config.State, wanted config.Change, p *Plan) error {
+	for _, r := range wanted.Remove {
+		if !itemExists(st, r) {
 			return &UnknownItemError{Ref: r}
 		}
 		p.Change.Remove = append(p.Change.Remove, r)
-		p.Lines = append(p.Lines, Line{Verb: VerbRemove, Kind: r.Kind, Name: r.Name})
+		p.Diffs = append(p.Diffs, ItemDiff{Verb: VerbRemove, Kind: r.Kind, Name: r.Name})
 	}
-	p.Change.Classes = diffItems(p, config.KindClass, w.Classes, st.Class, func(v config.Class) string { return v.Name })
-	p.Change.Organisations = diffItems(p, config.KindOrganisation, w.Organisations, st.Organisation, func(v config.Organisation) string { return v.Name })
-	p.Change.Services = diffItems(p, config.KindService, w.Services, st.Service, func(v config.Service) string { return v.Name })
-	p.Change.Servers = diffItems(p, config.KindServer, w.Servers, st.Server, func(v config.Server) string { return v.Name })
+	p.Change.Classes = diffItems(p, config.KindClass, wanted.Classes, st.Class, func(v config.Class) string { return v.Name })
+	p.Change.Organisations = diffItems(p, config.KindOrganisation, wanted.Organisations, st.Organisation, func(v config.Organisation) string { return v.Name })
+	p.Change.Services = diffItems(p, config.KindService, wanted.Services, st.Service, func(v config.Service) string { return v.Name })
+	p.Change.Servers = diffItems(p, config.KindServer, wanted.Servers, st.Server, func(v config.Server) string { return v.Name })
 	return nil
 }
 
-func exists(st *config.State, r config.Ref) bool {
+func itemExists(st *config.State, r config.Ref) bool {
 	ok := false
 	switch r.Kind {
 	case config.KindClass:
@@ -130,33 +134,34 @@
 	return ok
 }
 
-// diffItems keeps the items that differ from the state and writes their lines.
-func diffItems[V any](p *Plan, kind config.Kind, wanted []V, find func(string) (V, bool), name func(V) string) []V {
-	var kept []V
+// diffItems returns the wanted items that differ from the current ones, and adds
+// their diffs to p.
+func diffItems[V any](p *Plan, kind config.ItemKind, wanted []V, find func(string) (V, bool), name func(V) string) []V {
+	var changed []V
 	for _, v := range wanted {
 		old, ok := find(name(v))
-		l := Line{Verb: VerbAdd, Kind: kind, Name: name(v)}
+		d := ItemDiff{Verb: VerbAdd, Kind: kind, Name: name(v)}
 		if ok {
-			l.Verb = VerbChange
-			l.Fields = fields(old, v)
-			if len(l.Fields) == 0 {
+			d.Verb = VerbChange
+			d.Fields = diffFields(old, v)
+			if len(d.Fields) == 0 {
 				continue
 			}
 		}
-		p.Lines = append(p.Lines, l)
-		kept = append(kept, v)
+		p.Diffs = append(p.Diffs, d)
+		changed = append(changed, v)
 	}
-	return kept
+	return changed
 }
 
-// fields lists the fields that differ between two items of one type.
-func fields(old, new any) []Field {
-	var list []Field
+// diffFields returns the fields that differ between two items of the same type.
+func diffFields(old, new any) []FieldDiff {
+	var list []FieldDiff
 	a, b := reflect.ValueOf(old), reflect.ValueOf(new)
 	for i := range a.NumField() {
 		x, y := fmt.Sprint(a.Field(i).Interface()), fmt.Sprint(b.Field(i).Interface())
 		if x != y {
-			list = append(list, Field{Name: a.Type().Field(i).Name, Old: x, New: y})
+			list = append(list, FieldDiff{Name: a.Type().Field(i).Name, Old: x, New: y})
 		}
 	}
 	return list
--- a/pkg/snapshot/boxes_test.go
+++ b/pkg/snapshot/boxes_test.go
@@ -17,18 +17,17 @@
 	"headhill.example/headhill/pkg/roster"
 )
 
-// A box that starts has the boxes from one that knows all of them, and waits while that reads them
-// itself.
-func TestBoxesAreHadFromAnother(t *testing.T) {
+// A starting box fetches the roster from another box, and waits while that box is loading it.
+func TestRosterIsFetchedFromPeer(t *testing.T) {
 	var entries []roster.Entry
 	for i := range 985 {
 		entries = append(entries, roster.Entry{Box: fmt.Sprintf("box-%d", i), Hall: "hall", Peer: "192.0.2.1:1", Incarnation: uint64(i)})
 	}
 	var whole atomic.Bool
 	s := NewServer(ServerDeps{
-		Directory: directory.New(log.NewNopLogger()), Logger: log.NewNopLogger(), OnStranger: func() {},
-		KnownHost: func(netip.Addr) bool { return true },
-		Boxes:     func() (roster.Copy, bool) { return roster.Copy{Entries: entries, Revision: 7}, whole.Load() },
+		Directory: directory.New(log.NewNopLogger()), Logger: log.NewNopLogger(), OnUnknownHost: func() {},
+		IsPeerHost: func(netip.Addr) bool { return true },
+		Boxes:      func() (roster.Snapshot, bool) { return roster.Snapshot{Entries: entries, Revision: 7}, whole.Load() },
 	})
 	server := httptest.NewServer(s.Handler())
 	t.Cleanup(server.Close)
@@ -41,5 +40,5 @@
 	time.AfterFunc(300*time.Millisecond, func() { whole.Store(true) })
 	got, err := c.Boxes(t.Context(), true)
 	require.NoError(t, err)
-	assert.Equal(t, roster.Copy{Entries: entries, Revision: 7}, got)
+	assert.Equal(t, roster.Snapshot{Entries: entries, Revision: 7}, got)
 }
