--- a/cmd/headhill/cmds/cmds.go
+++ b/cmd/headhill/cmds/cmds.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = peer.LoadSecurity(s.Peers)
+	_, err = peer.LoadCredentials(s.Peers)
 	return err
 }
 
--- a/cmd/headhill/path_test.go
+++ b/cmd/headhill/path_test.go
@@ -63,7 +63,7 @@
 			for _, d := range f.daemons {
 				a, err := localfleet.Chat(ctx, d.caller, "from "+d.id, nil)
 				require.NoError(t, err)
-				require.True(t, a.Clean, a.Text)
+				require.True(t, a.Complete, a.Text)
 				want := direct(t, f.engines[0], a.Header.Get(api.HeaderRequestID), "from "+d.id)
 				require.Equal(t, want, a.Events)
 			}
@@ -99,7 +99,7 @@
 		return err
 	}
 	want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-	if !a.Clean || a.Text != want {
+	if !a.Complete || a.Text != want {
 		return fmt.Errorf("%s: status %d, text %q, error %+v", content, a.Status, a.Text, a.Error)
 	}
 	return nil
--- a/cmd/headhillctl/cmds/demo.go
+++ b/cmd/headhillctl/cmds/demo.go
@@ -29,7 +29,7 @@
 			o := localfleet.DefaultOptions()
 			o.Boxes = c.Int("boxes")
 			o.Engines = c.Int("engines")
-			o.Fences = true
+			o.ChecksFences = true
 			if c.Bool("logs") {
 				o.Log = errOut
 			}
@@ -53,15 +53,15 @@
 // printDemo prints shell commands to try against the running fleet.
 func printDemo(out io.Writer, f *localfleet.Fleet) {
 	fmt.Fprintf(out, "headhill is up: %d boxes, %d engines, 1 plain service. Ctrl-C ends it.\n\n", len(f.Boxes), len(f.Engines))
-	fmt.Fprintf(out, "# a streamed answer\ncurl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n\n", f.Caller(0), localfleet.CallerKey, localfleet.Model)
+	fmt.Fprintf(out, "# a streamed answer\ncurl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n\n", f.CallerURL(0), localfleet.CallerKey, localfleet.Model)
 	fmt.Fprintf(out, "# a call that runs at most once: send it twice, to two boxes\n")
 	for i := range min(2, len(f.Boxes)) {
-		fmt.Fprintf(out, "curl -i %s/services/%s/activate -H 'Authorization: Bearer %s' -H 'Idempotency-Key: sim-1' -d paper\n", f.Caller(i), localfleet.PlainService, localfleet.CallerKey)
+		fmt.Fprintf(out, "curl -i %s/services/%s/activate -H 'Authorization: Bearer %s' -H 'Idempotency-Key: sim-1' -d paper\n", f.CallerURL(i), localfleet.PlainService, localfleet.CallerKey)
 	}
 	fmt.Fprintf(out, "\n# operators\nexport HEADHILL_ADMIN=http://%s HEADHILL_TOKEN=%s\n", f.Boxes[0].AdminAddr(), localfleet.OperatorToken)
 	fmt.Fprintf(out, "go run ./cmd/headhillctl status\ngo run ./cmd/headhillctl plan --out plan.json docs/examples/intent.ini\n")
 	fmt.Fprintf(out, "curl -s $HEADHILL_ADMIN/metrics | grep headhill_first_token\n\n")
-	fmt.Fprintf(out, "# load\ngo run ./cmd/headhillctl load --target %s --key %s --model %s --class counter=20/1.3s/37ms --class batch=10 --burst 3@5s+5s --duration 15s\n", f.Caller(0), localfleet.CallerKey, localfleet.Model)
+	fmt.Fprintf(out, "# load\ngo run ./cmd/headhillctl load --target %s --key %s --model %s --class counter=20/1.3s/37ms --class batch=10 --burst 3@5s+5s --duration 15s\n", f.CallerURL(0), localfleet.CallerKey, localfleet.Model)
 }
 
 // CheckError reports a failed step of the demo's checks.
@@ -86,12 +86,12 @@
 
 func checkChat(ctx context.Context, f *localfleet.Fleet, i int) error {
 	content := fmt.Sprintf("demo %d", i)
-	a, err := localfleet.Chat(ctx, f.Caller(i), content, nil)
+	a, err := localfleet.Chat(ctx, f.CallerURL(i), content, nil)
 	if err != nil {
 		return &CheckError{Step: "chat", Problem: err.Error()}
 	}
 	want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-	if !a.Clean || a.Outcome != api.OutcomeDone || a.Text != want {
+	if !a.Complete || a.Outcome != api.OutcomeDone || a.Text != want {
 		return &CheckError{Step: "chat", Problem: fmt.Sprintf("status %d, outcome %q, text %q", a.Status, a.Outcome, a.Text)}
 	}
 	return nil
@@ -100,7 +100,7 @@
 func checkAtMostOnce(ctx context.Context, f *localfleet.Fleet) error {
 	const key = "demo-call"
 	for i := range f.Boxes {
-		a, err := localfleet.Call(ctx, f.Caller(i), "/activate", []byte("paper"), http.Header{api.HeaderIdempotencyKey: {key}})
+		a, err := localfleet.Call(ctx, f.CallerURL(i), "/activate", []byte("paper"), http.Header{api.HeaderIdempotencyKey: {key}})
 		if err != nil {
 			return &CheckError{Step: "once", Problem: err.Error()}
 		}
--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -165,7 +165,7 @@
 		return http.StatusConflict, "raced"
 	case isError[*config.UnknownOutcomeError](err):
 		return http.StatusGatewayTimeout, "uncertain"
-	case objlog.IsBehind(err):
+	case objlog.IsStaleLog(err):
 		return http.StatusServiceUnavailable, "platform_behind"
 	case isError[*config.NotReadyError](err), objectstore.IsUnavailable(err):
 		return http.StatusServiceUnavailable, "unavailable"
--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -37,7 +37,7 @@
 	store    *config.Store
 	tracker  *membership.Tracker
 	self     *peer.Self
-	security *peer.Security
+	security *peer.Credentials
 	runner   *shard.Runner
 	broker   *shard.Broker
 	links    *peer.Links
@@ -66,7 +66,7 @@
 
 // New opens a box's ports and puts its parts together. Nothing runs before Start.
 func New(s settings.Settings, logs *logflags.Loggers) (*Box, error) {
-	security, err := peer.LoadSecurity(s.Peers)
+	security, err := peer.LoadCredentials(s.Peers)
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 	b.links = peer.NewLinks(b.ctx, b.self, b.security, b.broker, logs.For(logflags.Peer))
 	b.broker.SetSender(b.links)
 	b.claims = claims.NewClient(b.platform, s.Platform.Prefix, b.tracker, logs.For(logflags.Claims))
-	b.claims.Attach(b.links)
+	b.claims.SetPeers(b.links)
 	b.entry = entry.NewHandler(entry.Deps{
 		Limits: s.Limits, Hall: s.Box.Hall, Tracker: b.tracker, Store: b.store, Broker: b.broker, Backend: b.backend,
 		Claims: b.claims, Metrics: b.metrics, Logger: logs.For(logflags.Entry), Ready: b.Ready,
@@ -181,7 +181,7 @@
 
 // caughtUp tells whether a starting box knows all that its peers know.
 func (b *Box) caughtUp() bool {
-	_, highest := b.tracker.Highest()
+	_, highest := b.tracker.HighestGeneration()
 	return b.store.Loaded() && b.Generation() >= highest
 }
 
--- a/pkg/box/calls.go
+++ b/pkg/box/calls.go
@@ -14,17 +14,17 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// Claim implements peer.Calls.
+// Claim implements peer.CallHandler.
 func (b *Box) Claim(ctx context.Context, r *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
 	return b.claims.ServeClaim(ctx, r)
 }
 
-// EndClaim implements peer.Calls.
+// EndClaim implements peer.CallHandler.
 func (b *Box) EndClaim(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
 	return b.claims.ServeEndClaim(ctx, r)
 }
 
-// PullConfig implements peer.Calls.
+// PullConfig implements peer.CallHandler.
 func (b *Box) PullConfig(r *peerpb.PullConfigRequest, stream grpc.ServerStreamingServer[peerpb.PullConfigReply]) error {
 	if !b.store.Loaded() {
 		return status.Error(codes.Unavailable, "this box has no configuration yet: ask another")
--- a/pkg/box/follow.go
+++ b/pkg/box/follow.go
@@ -114,7 +114,7 @@
 			ID: e.GetId(), Hall: e.GetHall(), Region: e.GetRegion(), Peer: e.GetPeer(), State: e.GetState(),
 		})
 	}
-	b.tracker.Learn(time.Now(), boxes)
+	b.tracker.AddDiscovered(time.Now(), boxes)
 	return nil
 }
 
@@ -122,7 +122,7 @@
 // starting box has caught up.
 func (b *Box) followPeers() {
 	for b.ctx.Err() == nil {
-		if box, g := b.tracker.Highest(); g > b.Generation() {
+		if box, g := b.tracker.HighestGeneration(); g > b.Generation() {
 			b.pullFrom(box)
 		}
 		if !b.tracker.Serving() {
@@ -139,7 +139,7 @@
 		return
 	}
 	b.tracker.SetServing(time.Now(), true)
-	b.links.Beat()
+	b.links.BroadcastHeartbeat()
 	level.Info(b.logger).Log("msg", "ready", "generation", b.Generation())
 }
 
@@ -147,11 +147,11 @@
 // the time to, so that a starting box does not take shards over from boxes it
 // just has not heard yet.
 func (b *Box) heardPeers() bool {
-	if b.self.Clock() > int64(membership.DeadAfter) {
+	if b.self.MonotonicNanos() > int64(membership.FailureTimeout) {
 		return true
 	}
 	live, all := b.tracker.View().LiveCount()
-	return all > 1 && live == all && b.tracker.HeardAll()
+	return all > 1 && live == all && b.tracker.HeardFromAll()
 }
 
 func (b *Box) pullFrom(box string) {
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(ctx, spreadWithin)
 	defer cancel()
 	for ctx.Err() == nil {
-		have, live := b.tracker.Known(generation)
+		have, live := b.tracker.CountWithGeneration(generation)
 		if have >= min(spreadTo, live) {
 			return
 		}
@@ -231,7 +231,7 @@
 	for {
 		view, conf := b.tracker.Changed(), b.store.Changed()
 		b.retarget()
-		b.links.Beat()
+		b.links.BroadcastHeartbeat()
 		select {
 		case <-b.ctx.Done():
 			return
@@ -244,7 +244,7 @@
 func (b *Box) retarget() {
 	v := b.tracker.View()
 	targets := make(map[string]string)
-	for _, id := range v.Targets(b.keys()) {
+	for _, id := range v.LinkTargets(b.keys()) {
 		if x, ok := v.Box(id); ok && x.Peer != "" {
 			targets[id] = x.Peer
 		}
--- a/pkg/box/stop.go
+++ b/pkg/box/stop.go
@@ -18,7 +18,7 @@
 	b.mu.Unlock()
 	level.Info(b.logger).Log("msg", "stopping", "in_progress", b.entry.InFlight(), "limit", b.settings.Limits.StopTimeout)
 	b.tracker.SetServing(time.Now(), false)
-	b.links.Beat()
+	b.links.BroadcastHeartbeat()
 	ctx, cancel := b.stopContext(ctx)
 	defer cancel()
 	pause.For(ctx, b.settings.Limits.StopNotice)
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -152,7 +152,7 @@
 	ctx := t.Context()
 	platform := standin.New()
 	tr := &interceptTransport{next: platform.Transport()}
-	paused := NewCoordinator(objectstore.NewClientOver(tr, "http://platform", "", callrate.DefaultBudget), "p", 0, log.NewNopLogger())
+	paused := NewCoordinator(objectstore.NewClientWithTransport(tr, "http://platform", "", callrate.DefaultBudget), "p", 0, log.NewNopLogger())
 	other := NewCoordinator(platform.Client(), "p", 0, log.NewNopLogger())
 	tr.beforePut = func() {
 		r, err := other.Claim(ctx, testKey(1), "other")
--- a/pkg/claims/client.go
+++ b/pkg/claims/client.go
@@ -36,13 +36,13 @@
 	abandonedCount atomic.Int64
 }
 
-// NewClient returns a Client that claims locally until Attach is called.
+// NewClient returns a Client that claims locally until SetPeers is called.
 func NewClient(objects objectstore.Objects, prefix string, tracker *membership.Tracker, logger log.Logger) *Client {
 	return &Client{objects: objects, prefix: prefix, tracker: tracker, logger: logger, coordinators: make(map[int]*Coordinator)}
 }
 
-// Attach sets the peers that the client forwards claims to.
-func (c *Client) Attach(p Peers) {
+// SetPeers sets the peers that the client forwards claims to.
+func (c *Client) SetPeers(p Peers) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers = p
--- a/pkg/claims/coordinator.go
+++ b/pkg/claims/coordinator.go
@@ -179,10 +179,10 @@
 		c.loaded = true
 	}
 	for {
-		next := c.log.Next()
+		next := c.log.NextIndex()
 		records, results := c.decideBatch(next, batch)
 		err := c.appendRecords(ctx, next, records)
-		if objlog.IsMoved(err) {
+		if objlog.IsAppendConflict(err) {
 			continue
 		}
 		if err != nil {
@@ -250,12 +250,12 @@
 
 // compact replaces a long log by a snapshot.
 func (c *Coordinator) compact() {
-	if !c.log.Foldable() {
+	if !c.log.CanCompact() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	err := c.log.Fold(ctx, func(uint64) ([][]byte, bool) {
+	err := c.log.Compact(ctx, func(uint64) ([][]byte, bool) {
 		return c.index.snapshot(time.Now(), c.retention), true
 	})
 	if err != nil {
--- a/pkg/claims/record.go
+++ b/pkg/claims/record.go
@@ -95,7 +95,7 @@
 
 func newIndex() *index { return &index{entries: make(map[Key]entry)} }
 
-// Restore implements objlog.Reader.
+// Restore implements objlog.StateMachine.
 func (x *index) Restore(_ uint64, parts [][]byte) error {
 	x.entries = make(map[Key]entry)
 	for _, p := range parts {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Apply implements objlog.Reader.
+// Apply implements objlog.StateMachine.
 func (x *index) Apply(i uint64, r objlog.Record) error {
 	var rec record
 	if err := json.Unmarshal(r.Data, &rec); err != nil {
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -67,7 +67,7 @@
 	return s.loaded
 }
 
-// StaleLogErr returns an *objlog.BehindError if the last read found the platform's
+// StaleLogErr returns an *objlog.StaleLogError if the last read found the platform's
 // log behind what was seen before, and nil otherwise.
 func (s *Store) StaleLogErr() error {
 	s.mu.Lock()
@@ -85,12 +85,12 @@
 // logReader applies the records of the platform's log to the store.
 type logReader Store
 
-// Restore implements objlog.Reader.
+// Restore implements objlog.StateMachine.
 func (r *logReader) Restore(index uint64, parts [][]byte) error {
 	return (*Store)(r).Restore(index, parts)
 }
 
-// Apply implements objlog.Reader.
+// Apply implements objlog.StateMachine.
 func (r *logReader) Apply(index uint64, rec objlog.Record) error {
 	return (*Store)(r).ApplyEntry(Entry{Generation: index, Record: rec})
 }
@@ -172,7 +172,7 @@
 func (s *Store) Refresh(ctx context.Context) error { return s.finishRead(s.log.Refresh(ctx)) }
 
 // Await waits until the platform's log grows, then applies the new records.
-func (s *Store) Await(ctx context.Context) error { return s.finishRead(s.log.Await(ctx)) }
+func (s *Store) Await(ctx context.Context) error { return s.finishRead(s.log.WaitForChange(ctx)) }
 
 // finishRead records the result of reading the platform's log and returns its
 // error, or that of checkStaleLog.
@@ -190,20 +190,20 @@
 // checkStaleLog returns an error if the platform's log is behind the current
 // generation, which may have come from a peer.
 func (s *Store) checkStaleLog() error {
-	shown, seen := s.log.Next()-1, s.Current().Generation
+	shown, seen := s.log.NextIndex()-1, s.Current().Generation
 	if shown < seen {
-		return &objlog.BehindError{Log: "config", Seen: seen, Shown: shown}
+		return &objlog.StaleLogError{Log: "config", Seen: seen, Shown: shown}
 	}
 	return nil
 }
 
-// setStaleLogErr sets staleLogErr to err if it is an *objlog.BehindError and
+// setStaleLogErr sets staleLogErr to err if it is an *objlog.StaleLogError and
 // clears it otherwise.
 func (s *Store) setStaleLogErr(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleLogErr = nil
-	if objlog.IsBehind(err) {
+	if objlog.IsStaleLog(err) {
 		s.staleLogErr = err
 		level.Error(s.logger).Log("msg", "the platform shows an older configuration; it is not applied", "err", err)
 	}
@@ -288,9 +288,9 @@
 	case err == nil:
 		s.foldInBackground()
 		return base + 1, nil
-	case objlog.IsMoved(err):
+	case objlog.IsAppendConflict(err):
 		return s.findConfirmed(id, base)
-	case objectstore.IsUnknown(err):
+	case objectstore.IsUnknownOutcome(err):
 		return 0, &UnknownOutcomeError{Cause: err}
 	}
 	return 0, err
@@ -311,13 +311,13 @@
 
 // foldInBackground starts folding the log into a snapshot if it has grown long.
 func (s *Store) foldInBackground() {
-	if !s.log.Foldable() {
+	if !s.log.CanCompact() {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		err := s.log.Fold(ctx, s.snapshotAt)
+		err := s.log.Compact(ctx, s.snapshotAt)
 		if err != nil {
 			level.Warn(s.logger).Log("msg", "folding the configuration log failed; retrying after a later confirmation", "err", err)
 		}
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -85,12 +85,12 @@
 	backup := p.Snapshot()
 	confirm(t, s, "b")
 	p.Restore(backup)
-	require.True(t, objlog.IsBehind(s.Refresh(t.Context())))
+	require.True(t, objlog.IsStaleLog(s.Refresh(t.Context())))
 	require.Error(t, s.StaleLogErr())
 	_, exists := s.Current().Class("b")
 	require.True(t, exists, "an accepted change was lost")
 	_, err := s.Confirm(t.Context(), "c", 2, acceptedClass("c"))
-	require.True(t, objlog.IsBehind(err), "%v", err)
+	require.True(t, objlog.IsStaleLog(err), "%v", err)
 }
 
 // A box that got newer entries from a peer than a stale platform returns must keep
@@ -114,10 +114,10 @@
 		require.NoError(t, behind.ApplyEntry(e))
 	}
 	p.Restore(oldLog)
-	require.True(t, objlog.IsBehind(behind.Refresh(t.Context())))
+	require.True(t, objlog.IsStaleLog(behind.Refresh(t.Context())))
 	require.Equal(t, uint64(2), behind.Current().Generation)
 	_, err := behind.Confirm(t.Context(), "c", 2, acceptedClass("c"))
-	require.True(t, objlog.IsBehind(err), "%v", err)
+	require.True(t, objlog.IsStaleLog(err), "%v", err)
 }
 
 func TestApplyEntryRejectsGapsAndIgnoresDuplicates(t *testing.T) {
@@ -148,7 +148,7 @@
 		time.Sleep(time.Minute)
 		entries, err := p.Client().List(t.Context(), "p/config/")
 		require.NoError(t, err)
-		require.Less(t, len(entries), 2*objlog.FoldAfter)
+		require.Less(t, len(entries), 2*objlog.MinSegmentsToCompact)
 		fresh := newTestStore(p)
 		require.NoError(t, fresh.Refresh(t.Context()))
 		require.Equal(t, s.Current().Generation, fresh.Current().Generation)
--- a/pkg/localfleet/call.go
+++ b/pkg/localfleet/call.go
@@ -14,16 +14,16 @@
 	"headhill.example/headhill/pkg/sse"
 )
 
-// Answer is what a caller got.
-type Answer struct {
+// Response is what a caller got.
+type Response struct {
 	Status int
 	Header http.Header
 	// Text is the content of a chat completion, or the body of anything else.
 	Text string
 	// Events are the raw events of a stream.
 	Events [][]byte
-	// Clean says that a stream ended with its closing mark.
-	Clean bool
+	// Complete says that a stream ended with its closing mark.
+	Complete bool
 	// Error is the error event or body, if there was one.
 	Error *api.Error
 	// Outcome is what the caller was told.
@@ -31,27 +31,27 @@
 }
 
 // Chat sends a streamed chat completion to a base URL.
-func Chat(ctx context.Context, base, content string, header http.Header) (Answer, error) {
+func Chat(ctx context.Context, base, content string, header http.Header) (Response, error) {
 	body, err := json.Marshal(map[string]any{
 		"model":    Model,
 		"stream":   true,
 		"messages": []map[string]string{{"role": "user", "content": content}},
 	})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	return do(ctx, http.MethodPost, base+"/v1/chat/completions", body, header)
 }
 
 // Call sends a call to the plain service at a base URL.
-func Call(ctx context.Context, base, path string, body []byte, header http.Header) (Answer, error) {
+func Call(ctx context.Context, base, path string, body []byte, header http.Header) (Response, error) {
 	return do(ctx, http.MethodPost, base+"/services/"+PlainService+path, body, header)
 }
 
-func do(ctx context.Context, method, url string, body []byte, header http.Header) (Answer, error) {
+func do(ctx context.Context, method, url string, body []byte, header http.Header) (Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	for k, v := range header {
 		req.Header[k] = v
@@ -61,7 +61,7 @@
 	}
 	resp, err := callers.Do(req)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer resp.Body.Close()
 	return read(resp)
@@ -70,8 +70,8 @@
 // callers is the callers' own client: it never repeats a request by itself.
 var callers = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func read(resp *http.Response) (Answer, error) {
-	a := Answer{Status: resp.StatusCode, Header: resp.Header}
+func read(resp *http.Response) (Response, error) {
+	a := Response{Status: resp.StatusCode, Header: resp.Header}
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
 		err := a.readStream(resp.Body)
 		a.Outcome = api.Outcome(resp.Trailer.Get(api.HeaderOutcome))
@@ -97,7 +97,7 @@
 	Error *api.Error `json:"error"`
 }
 
-func (a *Answer) readStream(body io.Reader) error {
+func (a *Response) readStream(body io.Reader) error {
 	events := sse.NewReader(body)
 	var text strings.Builder
 	defer func() { a.Text = text.String() }()
@@ -111,7 +111,7 @@
 		}
 		a.Events = append(a.Events, append([]byte(nil), data...))
 		if string(data) == "[DONE]" {
-			a.Clean = true
+			a.Complete = true
 			continue
 		}
 		var e eventBody
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	owner := -1
 	require.Eventually(t, func() bool {
-		st, err := f.Admin(0).Status(ctx)
+		st, err := f.AdminClient(0).Status(ctx)
 		if err != nil {
 			return false
 		}
@@ -67,9 +67,9 @@
 }
 
 // whole says what is wrong with an answer to content.
-func whole(a Answer, content string) error {
+func whole(a Response, content string) error {
 	want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-	if a.Clean && a.Text == want && a.Outcome == api.OutcomeDone {
+	if a.Complete && a.Text == want && a.Outcome == api.OutcomeDone {
 		return nil
 	}
 	return fmt.Errorf("%s: status %d, outcome %q, text %q, error %+v", content, a.Status, a.Outcome, a.Text, a.Error)
@@ -84,10 +84,10 @@
 }
 
 func keyedCallsWhileBoxesDie(t *testing.T, fences bool) {
-	withFleet(t, func(o *Options) { o.Boxes, o.Fences = 3, fences }, func(ctx context.Context, f *Fleet) {
+	withFleet(t, func(o *Options) { o.Boxes, o.ChecksFences = 3, fences }, func(ctx context.Context, f *Fleet) {
 		f.Service.SetFaults(service.Faults{Delay: 30 * time.Millisecond})
 		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, LoseWrites: 5})
-		bases := []string{f.Caller(0), f.Caller(1), f.Caller(2)}
+		bases := []string{f.CallerURL(0), f.CallerURL(1), f.CallerURL(2)}
 		p := pool.New()
 		for i := range 60 {
 			p.Go(func() {
@@ -96,7 +96,7 @@
 			})
 		}
 		time.Sleep(300 * time.Millisecond)
-		f.Drop(0)
+		f.KillBox(0)
 		p.Wait()
 		runs := f.Service.AllRuns()
 		for key, n := range runs {
@@ -127,7 +127,7 @@
 		var bases []string
 		for i := range f.Boxes {
 			if i != owner {
-				bases = append(bases, f.Caller(i))
+				bases = append(bases, f.CallerURL(i))
 			}
 		}
 		p := pool.New().WithErrors()
@@ -143,7 +143,7 @@
 			})
 		}
 		time.Sleep(300 * time.Millisecond)
-		f.Drop(owner)
+		f.KillBox(owner)
 		require.NoError(t, p.Wait())
 	})
 }
@@ -200,7 +200,7 @@
 				var g gap
 				stop := make(chan struct{})
 				done := make(chan error, 1)
-				go func() { done <- steady(ctx, f.Caller(other), stop, &g) }()
+				go func() { done <- steady(ctx, f.CallerURL(other), stop, &g) }()
 				time.Sleep(300 * time.Millisecond)
 				if kill {
 					f.Boxes[owner].Kill()
@@ -212,7 +212,7 @@
 				require.NoError(t, <-done)
 				t.Logf("longest gap: %s", g.longest)
 				require.Less(t, g.longest, 10*time.Second)
-				f.Forget(owner)
+				f.RemoveBox(owner)
 			})
 		})
 	}
@@ -222,7 +222,7 @@
 // while the balancer has not noticed.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Slots = 4 }, func(ctx context.Context, f *Fleet) {
-		base := f.Caller(0)
+		base := f.CallerURL(0)
 		p := pool.New().WithErrors()
 		for i := range 60 {
 			p.Go(func() error {
@@ -237,7 +237,7 @@
 		time.Sleep(50 * time.Millisecond)
 		f.Boxes[0].Stop(ctx)
 		require.NoError(t, p.Wait())
-		f.Forget(0)
+		f.RemoveBox(0)
 	})
 }
 
@@ -266,12 +266,12 @@
 			withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 				leave(ctx, t, f)
 				f.Platform.SetFaults(standin.Faults{Down: true})
-				f.Drop(f.ownerOf(ctx, t, EngineService))
+				f.KillBox(f.ownerOf(ctx, t, EngineService))
 				time.Sleep(3 * time.Second)
 				before := f.Engines[0].Stats().Started
 				for i := range 20 {
 					content := fmt.Sprint("leaving-", i)
-					a, err := Chat(ctx, f.Caller(i%2), content, nil)
+					a, err := Chat(ctx, f.CallerURL(i%2), content, nil)
 					require.NoError(t, err)
 					require.NoError(t, whole(a, content))
 				}
@@ -297,14 +297,14 @@
 		}
 		for i := range f.Boxes {
 			content := fmt.Sprint("outage-", i)
-			a, err := Chat(ctx, f.Caller(i), content, nil)
+			a, err := Chat(ctx, f.CallerURL(i), content, nil)
 			require.NoError(t, err)
 			require.NoError(t, whole(a, content))
-			a, err = Call(ctx, f.Caller(i), "/x", nil, nil)
+			a, err = Call(ctx, f.CallerURL(i), "/x", nil, nil)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, a.Status, "an unkeyed call does not need the platform: %s", a.Text)
 		}
-		a, err := Call(ctx, f.Caller(0), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
+		a, err := Call(ctx, f.CallerURL(0), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 		require.NoError(t, err)
 		require.Equal(t, api.OutcomeNotRun, a.Outcome)
 		require.NotEmpty(t, a.Header.Get("Retry-After"))
@@ -325,7 +325,7 @@
 		require.Less(t, float64(after.Reads-before.Reads), callrate.DefaultBudget.ReadsPerSecond*seconds)
 		require.Less(t, float64(after.Writes-before.Writes), callrate.DefaultBudget.WritesPerSecond*seconds)
 		require.Eventually(t, func() bool {
-			a, err := Call(ctx, f.Caller(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
+			a, err := Call(ctx, f.CallerURL(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 			return err == nil && a.Status == http.StatusOK
 		}, 20*time.Second, 100*time.Millisecond, "the refused key can't be used again")
 		require.Equal(t, 1, f.Service.Runs("k"))
--- a/pkg/localfleet/fleet.go
+++ b/pkg/localfleet/fleet.go
@@ -40,15 +40,15 @@
 	Boxes, Engines, Slots int
 	// Engine shapes the engines.
 	Engine engine.Options
-	// Fences says whether the plain service checks fences.
-	Fences bool
+	// ChecksFences says whether the plain service checks fences.
+	ChecksFences bool
 	// Log receives the boxes' logs.
 	Log io.Writer
 	// LogLevel and LogOutput are as in the settings.
 	LogLevel  string
 	LogOutput []string
-	// Change adjusts the settings of each box.
-	Change func(*settings.Settings)
+	// ModifySettings adjusts the settings of each box.
+	ModifySettings func(*settings.Settings)
 }
 
 // DefaultOptions returns a fleet of two boxes and two engines.
@@ -86,7 +86,7 @@
 // Start runs a fleet, configures it through the intent API, and returns when
 // every box is ready and has the configuration in force.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
-	f := &Fleet{opts: o, Platform: standin.New(), Service: service.New(o.Fences)}
+	f := &Fleet{opts: o, Platform: standin.New(), Service: service.New(o.ChecksFences)}
 	if err := f.startStandins(); err != nil {
 		f.Close()
 		return nil, err
@@ -138,8 +138,8 @@
 	}
 	s.Operators = map[string]string{Operator: config.HashKey(OperatorToken)}
 	s.Limits.StopNotice = 100 * time.Millisecond
-	if f.opts.Change != nil {
-		f.opts.Change(&s)
+	if f.opts.ModifySettings != nil {
+		f.opts.ModifySettings(&s)
 	}
 	b, err := box.New(s, logflags.New(f.opts.Log, "logfmt", f.opts.LogLevel, f.opts.LogOutput))
 	if err != nil {
@@ -152,8 +152,8 @@
 	return b, nil
 }
 
-// Name returns the name of box i.
-func (f *Fleet) Name(i int) string { return f.names[i] }
+// BoxName returns the name of box i.
+func (f *Fleet) BoxName(i int) string { return f.names[i] }
 
 // Intent returns the intent that the fleet is configured with.
 func (f *Fleet) Intent() string {
@@ -164,7 +164,7 @@
 		fmt.Fprintf(&b, "\n[server engine-%d]\nservice = %s\nhall = %s\naddress = %s\nslots = %d\n", i+1, EngineService, Hall, a, f.opts.Slots)
 	}
 	fences := "no"
-	if f.opts.Fences {
+	if f.opts.ChecksFences {
 		fences = "yes"
 	}
 	fmt.Fprintf(&b, "\n[server business-1]\nservice = %s\nhall = %s\naddress = %s\nslots = 64\nchecks-fences = %s\n", PlainService, Hall, f.service, fences)
@@ -200,21 +200,21 @@
 class = counter
 `
 
-// Admin returns an operator's client of box i.
-func (f *Fleet) Admin(i int) *adminclient.Client {
+// AdminClient returns an operator's client of box i.
+func (f *Fleet) AdminClient(i int) *adminclient.Client {
 	return adminclient.New("http://"+f.Boxes[i].AdminAddr(), OperatorToken)
 }
 
-// Caller is the base URL of box i for callers.
-func (f *Fleet) Caller(i int) string { return "http://" + f.Boxes[i].CallerAddr() }
+// CallerURL is the base URL of box i for callers.
+func (f *Fleet) CallerURL(i int) string { return "http://" + f.Boxes[i].CallerAddr() }
 
 // Apply plans and confirms an intent at box i and returns its generation.
 func (f *Fleet) Apply(ctx context.Context, i int, text string) (uint64, error) {
-	p, err := f.Admin(i).Plan(ctx, text)
+	p, err := f.AdminClient(i).Plan(ctx, text)
 	if err != nil {
 		return 0, err
 	}
-	return f.Admin(i).Confirm(ctx, p)
+	return f.AdminClient(i).Confirm(ctx, p)
 }
 
 func (f *Fleet) configure(ctx context.Context) error {
@@ -272,16 +272,16 @@
 	return nil
 }
 
-// Drop kills box i and takes it off the box list. The others keep their numbers
+// KillBox kills box i and takes it off the box list. The others keep their numbers
 // but for those after it.
-func (f *Fleet) Drop(i int) {
+func (f *Fleet) KillBox(i int) {
 	f.Boxes[i].Kill()
 	f.Platform.RemoveBox(f.names[i])
-	f.Forget(i)
+	f.RemoveBox(i)
 }
 
-// Forget takes a box that ended by itself off the fleet's own list.
-func (f *Fleet) Forget(i int) {
+// RemoveBox takes a box that ended by itself off the fleet's own list.
+func (f *Fleet) RemoveBox(i int) {
 	f.Boxes = append(f.Boxes[:i:i], f.Boxes[i+1:]...)
 	f.names = append(f.names[:i:i], f.names[i+1:]...)
 }
--- a/pkg/localfleet/fleet_test.go
+++ b/pkg/localfleet/fleet_test.go
@@ -62,10 +62,10 @@
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		for i := range f.Boxes {
 			content := fmt.Sprintf("caller at box %d", i)
-			a, err := Chat(ctx, f.Caller(i), content, nil)
+			a, err := Chat(ctx, f.CallerURL(i), content, nil)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, a.Status, a.Text)
-			require.True(t, a.Clean)
+			require.True(t, a.Complete)
 			require.Equal(t, api.OutcomeDone, a.Outcome)
 			n := strings.Count(a.Text, " ")
 			require.Equal(t, strings.Join(engine.Answer(content, n), ""), a.Text)
@@ -76,12 +76,12 @@
 func TestPlainCallRunsOnce(t *testing.T) {
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		h := http.Header{api.HeaderIdempotencyKey: {"call-1"}}
-		a, err := Call(ctx, f.Caller(0), "/activate?x=1", []byte("paper"), h)
+		a, err := Call(ctx, f.CallerURL(0), "/activate?x=1", []byte("paper"), h)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, a.Status, a.Text)
 		require.Equal(t, "POST /activate?x=1 paper", a.Text)
 		require.Equal(t, 1, f.Service.Runs("call-1"))
-		again, err := Call(ctx, f.Caller(1), "/activate?x=1", []byte("paper"), h)
+		again, err := Call(ctx, f.CallerURL(1), "/activate?x=1", []byte("paper"), h)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusConflict, again.Status)
 		require.Equal(t, 1, f.Service.Runs("call-1"))
@@ -95,12 +95,12 @@
 		for i := range 1000 {
 			p.Go(func() error {
 				content := fmt.Sprintf("caller-%d", i)
-				a, err := Chat(ctx, f.Caller(i%len(f.Boxes)), content, nil)
+				a, err := Chat(ctx, f.CallerURL(i%len(f.Boxes)), content, nil)
 				if err != nil {
 					return err
 				}
 				want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-				if !a.Clean || a.Text != want {
+				if !a.Complete || a.Text != want {
 					return fmt.Errorf("%s got status %d, %q", content, a.Status, a.Text)
 				}
 				return nil
@@ -112,7 +112,7 @@
 
 func TestMetricsAreShownByClass(t *testing.T) {
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
-		_, err := Chat(ctx, f.Caller(0), "measured", nil)
+		_, err := Chat(ctx, f.CallerURL(0), "measured", nil)
 		require.NoError(t, err)
 		a, err := do(ctx, http.MethodGet, "http://"+f.Boxes[0].AdminAddr()+"/metrics", nil, nil)
 		require.NoError(t, err)
--- a/pkg/localfleet/notrun_test.go
+++ b/pkg/localfleet/notrun_test.go
@@ -101,7 +101,7 @@
 // may not be repeated runs at most once, wherever the exchange breaks.
 func TestNotRunIsTrue(t *testing.T) {
 	change := func(o *Options) {
-		o.Change = func(s *settings.Settings) { s.Limits.AnswerTimeout = 700 * time.Millisecond }
+		o.ModifySettings = func(s *settings.Settings) { s.Limits.AnswerTimeout = 700 * time.Millisecond }
 	}
 	positions := []position{
 		refuseConnection, closeOnAccept, closeInRequest, closeAfter, closeInHeader,
@@ -122,7 +122,7 @@
 			p.Go(func() error {
 				for n := range 6 {
 					repeatable := []string{"no", "yes"}[n%2]
-					base := fmt.Sprintf("%s/services/raw-%d/x", f.Caller(n/2%2), i)
+					base := fmt.Sprintf("%s/services/raw-%d/x", f.CallerURL(n/2%2), i)
 					if err := brokenExchange(ctx, s, base, repeatable); err != nil {
 						return fmt.Errorf("%s, repeatable %s: %w", positions[i], repeatable, err)
 					}
--- a/pkg/localfleet/path_bench_test.go
+++ b/pkg/localfleet/path_bench_test.go
@@ -53,7 +53,7 @@
 	require.NoError(b, err)
 	require.NoError(b, f.WaitGeneration(ctx, g))
 	time.Sleep(200 * time.Millisecond)
-	fn("http://"+address, f.Caller(0))
+	fn("http://"+address, f.CallerURL(0))
 }
 
 var benchCallers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
--- a/pkg/localfleet/security_test.go
+++ b/pkg/localfleet/security_test.go
@@ -111,7 +111,7 @@
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	ours, others := newAuthority(t), newAuthority(t)
 	change := func(o *Options) {
-		o.Change = func(s *settings.Settings) {
+		o.ModifySettings = func(s *settings.Settings) {
 			seeds := s.Peers.Seeds
 			s.Peers = ours.issue(t, s.Box.ID)
 			s.Peers.Seeds = seeds
@@ -119,7 +119,7 @@
 	}
 	withFleet(t, change, func(ctx context.Context, f *Fleet) {
 		for i := range f.Boxes {
-			a, err := Chat(ctx, f.Caller(i), "over tls", nil)
+			a, err := Chat(ctx, f.CallerURL(i), "over tls", nil)
 			require.NoError(t, err)
 			require.NoError(t, whole(a, "over tls"))
 		}
@@ -129,18 +129,18 @@
 			require.NoError(t, err)
 			pool := x509.NewCertPool()
 			pool.AddCert(ours.cert)
-			return credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: f.Name(0)})
+			return credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: f.BoxName(0)})
 		}
 		require.NoError(t, link(ctx, creds(ours.issue(t, "box-9")), address, "box-9"))
-		require.ErrorContains(t, link(ctx, creds(ours.issue(t, "box-9")), address, f.Name(1)), "does not name box")
-		require.Error(t, link(ctx, creds(others.issue(t, f.Name(1))), address, f.Name(1)), "signed by other roots")
-		require.Error(t, link(ctx, insecure.NewCredentials(), address, f.Name(1)), "no certificate")
+		require.ErrorContains(t, link(ctx, creds(ours.issue(t, "box-9")), address, f.BoxName(1)), "does not name box")
+		require.Error(t, link(ctx, creds(others.issue(t, f.BoxName(1))), address, f.BoxName(1)), "signed by other roots")
+		require.Error(t, link(ctx, insecure.NewCredentials(), address, f.BoxName(1)), "no certificate")
 	})
 }
 
 func TestCallersAreBoundedAndKeptApart(t *testing.T) {
 	change := func(o *Options) {
-		o.Change = func(s *settings.Settings) {
+		o.ModifySettings = func(s *settings.Settings) {
 			s.Limits.MaxBodyBytes = 64 << 10
 			s.Limits.MaxHeaderBytes = 8 << 10
 			s.Limits.HeaderTimeout = 300 * time.Millisecond
@@ -148,8 +148,8 @@
 		}
 	}
 	withFleet(t, change, func(ctx context.Context, f *Fleet) {
-		call := func(body string, h http.Header) Answer {
-			a, err := do(ctx, http.MethodPost, f.Caller(0)+"/v1/chat/completions", []byte(body), h)
+		call := func(body string, h http.Header) Response {
+			a, err := do(ctx, http.MethodPost, f.CallerURL(0)+"/v1/chat/completions", []byte(body), h)
 			require.NoError(t, err)
 			return a
 		}
@@ -176,7 +176,7 @@
 			require.Contains(t, a.Error.Message, c.says, c.name)
 		}
 		for _, path := range []string{"/v1/plan", "/v1/confirm", "/v1/config", "/metrics", "/v1/status"} {
-			a, err := do(ctx, http.MethodGet, f.Caller(0)+path, nil, http.Header{"Authorization": {"Bearer " + OperatorToken}})
+			a, err := do(ctx, http.MethodGet, f.CallerURL(0)+path, nil, http.Header{"Authorization": {"Bearer " + OperatorToken}})
 			require.NoError(t, err)
 			require.Equal(t, http.StatusNotFound, a.Status, "%s on the callers' port", path)
 		}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -9,19 +9,19 @@
 import "time"
 
 const (
-	// HeartbeatEvery is the time between two heartbeats on a link, and DeadAfter
+	// HeartbeatInterval is the time between two heartbeats on a link, and FailureTimeout
 	// the silence after which a box is not relied on any more.
-	HeartbeatEvery = 250 * time.Millisecond
-	DeadAfter      = 1500 * time.Millisecond
-	// The same in a fleet beyond MeshSize, where links are many. A process that
+	HeartbeatInterval = 250 * time.Millisecond
+	FailureTimeout    = 1500 * time.Millisecond
+	// The same in a fleet beyond MaxFullMeshBoxes, where links are many. A process that
 	// dies is noticed by its broken links all the same.
 	sparseHeartbeatEvery = time.Second
 	sparseDeadAfter      = 3500 * time.Millisecond
 	// brokenDeadAfter is the same for a box whose link just broke: long enough to
 	// make the link anew, if the box is still there.
 	brokenDeadAfter = 300 * time.Millisecond
-	// MeshSize is the largest roster in which every box links to every other.
-	MeshSize = 32
+	// MaxFullMeshBoxes is the largest roster in which every box links to every other.
+	MaxFullMeshBoxes = 32
 	// ringLinks is the number of links a box keeps in a larger roster, besides
 	// those to the owners that it uses.
 	ringLinks = 8
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -43,14 +43,14 @@
 	owned := func() string { return tr.View().Owner("k", "") }
 	first := owned()
 	for _, b := range []string{"box-0001", "box-0002"} {
-		tr.Heard(now, Heartbeat{Box: b})
+		tr.RecordHeartbeat(now, Heartbeat{Box: b})
 	}
 	require.Equal(t, first, owned())
-	tr.Heard(now.Add(time.Second), Heartbeat{Box: "box-0001", Stopping: true})
-	tr.Tick(now.Add(2 * time.Second))
+	tr.RecordHeartbeat(now.Add(time.Second), Heartbeat{Box: "box-0001", Stopping: true})
+	tr.ExpireHeartbeats(now.Add(2 * time.Second))
 	require.Equal(t, "box-0000", owned(), "one stops, one is silent")
-	tr.Heard(now.Add(3*time.Second), Heartbeat{Box: "box-0001"})
-	tr.Heard(now.Add(3*time.Second), Heartbeat{Box: "box-0002"})
+	tr.RecordHeartbeat(now.Add(3*time.Second), Heartbeat{Box: "box-0001"})
+	tr.RecordHeartbeat(now.Add(3*time.Second), Heartbeat{Box: "box-0002"})
 	require.Equal(t, first, owned())
 	tr.SetServing(now.Add(3*time.Second), false)
 	require.NotEqual(t, "box-0000", owned())
@@ -80,15 +80,15 @@
 // the view: its peers that have it on their list count on it.
 func TestBoxHeardBeforeItIsListed(t *testing.T) {
 	tr := newTracker(2)
-	tr.Heard(now, Heartbeat{Box: "late", Peer: "10.0.0.9:1", Hall: "hall-1"})
+	tr.RecordHeartbeat(now, Heartbeat{Box: "late", Peer: "10.0.0.9:1", Hall: "hall-1"})
 	b, ok := tr.View().Box("late")
 	require.True(t, ok)
 	require.True(t, b.eligible())
-	require.Contains(t, tr.View().Targets(nil), "late")
-	tr.Heard(now.Add(time.Second), Heartbeat{Box: "late", Peer: "10.0.0.9:1", Stopping: true})
+	require.Contains(t, tr.View().LinkTargets(nil), "late")
+	tr.RecordHeartbeat(now.Add(time.Second), Heartbeat{Box: "late", Peer: "10.0.0.9:1", Stopping: true})
 	b, _ = tr.View().Box("late")
 	require.False(t, b.eligible())
-	tr.Tick(now.Add(3 * time.Second))
+	tr.ExpireHeartbeats(now.Add(3 * time.Second))
 	tr.SetRoster(now.Add(2*metFor), roster(2))
 	_, ok = tr.View().Box("late")
 	require.False(t, ok, "a box that is neither listed nor heard is kept")
@@ -121,8 +121,8 @@
 	for i := range 32 {
 		keys = append(keys, Key{Name: fmt.Sprint("shard-", i), Hall: "hall-0"})
 	}
-	require.LessOrEqual(t, len(v.Targets(keys)), ringLinks+linkCandidates*len(keys))
-	require.Len(t, newTracker(8).View().Targets(nil), 7)
+	require.LessOrEqual(t, len(v.LinkTargets(keys)), ringLinks+linkCandidates*len(keys))
+	require.Len(t, newTracker(8).View().LinkTargets(nil), 7)
 }
 
 func BenchmarkViewAt1700(b *testing.B) {
@@ -149,6 +149,6 @@
 func BenchmarkHeardAt1700(b *testing.B) {
 	tr := newTracker(1700)
 	for b.Loop() {
-		tr.Heard(now, Heartbeat{Box: "box-0700", Incarnation: "i"})
+		tr.RecordHeartbeat(now, Heartbeat{Box: "box-0700", Incarnation: "i"})
 	}
 }
--- a/pkg/membership/tracker.go
+++ b/pkg/membership/tracker.go
@@ -107,9 +107,9 @@
 	return list
 }
 
-// Learn takes in boxes that a peer knows of. Those that the list does not show are
+// AddDiscovered takes in boxes that a peer knows of. Those that the list does not show are
 // kept while they are heard.
-func (t *Tracker) Learn(now time.Time, boxes []objectstore.Box) {
+func (t *Tracker) AddDiscovered(now time.Time, boxes []objectstore.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, b := range boxes {
@@ -150,8 +150,8 @@
 	Hall, Region, Peer string
 }
 
-// Heard takes a heartbeat in.
-func (t *Tracker) Heard(now time.Time, h Heartbeat) {
+// RecordHeartbeat takes a heartbeat in.
+func (t *Tracker) RecordHeartbeat(now time.Time, h Heartbeat) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peer(h.Box)
@@ -167,9 +167,9 @@
 	}
 }
 
-// LinkBroke says that the link to a peer broke, as it does at once when its
+// MarkLinkDown says that the link to a peer broke, as it does at once when its
 // process dies. Unless it is heard again soon, it is not relied on.
-func (t *Tracker) LinkBroke(now time.Time, box string) {
+func (t *Tracker) MarkLinkDown(now time.Time, box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peer(box)
@@ -178,8 +178,8 @@
 	}
 }
 
-// HeardAll tells whether every box of the roster sent a heartbeat at some time.
-func (t *Tracker) HeardAll() bool {
+// HeardFromAll tells whether every box of the roster sent a heartbeat at some time.
+func (t *Tracker) HeardFromAll() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id := range t.roster {
@@ -193,9 +193,9 @@
 	return true
 }
 
-// Linked says that this box tries to keep a link to a peer, so that its silence
+// MarkLinked says that this box tries to keep a link to a peer, so that its silence
 // means something.
-func (t *Tracker) Linked(box string) {
+func (t *Tracker) MarkLinked(box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.peer(box).linked = true
@@ -210,8 +210,8 @@
 	return p
 }
 
-// Highest returns the box that said the highest configuration generation.
-func (t *Tracker) Highest() (box string, generation uint64) {
+// HighestGeneration returns the box that said the highest configuration generation.
+func (t *Tracker) HighestGeneration() (box string, generation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
@@ -228,9 +228,9 @@
 	return b
 }
 
-// Known counts the other live boxes, and those of them that said that they have a
+// CountWithGeneration counts the other live boxes, and those of them that said that they have a
 // configuration generation in force.
-func (t *Tracker) Known(generation uint64) (have, live int) {
+func (t *Tracker) CountWithGeneration(generation uint64) (have, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.view.Boxes {
@@ -247,9 +247,9 @@
 	return have, live
 }
 
-// Tick lets time pass: silent boxes stop being live. It looks at the linked peers
+// ExpireHeartbeats lets time pass: silent boxes stop being live. It looks at the linked peers
 // only, and works the view out anew only if one of them changed.
-func (t *Tracker) Tick(now time.Time) {
+func (t *Tracker) ExpireHeartbeats(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -135,11 +135,11 @@
 	return d.Sum64()
 }
 
-// Targets returns the boxes to keep links to: all of a small roster, else a few
+// LinkTargets returns the boxes to keep links to: all of a small roster, else a few
 // neighbours and the candidates for owning the keys in use.
-func (v *View) Targets(keys []Key) []string {
+func (v *View) LinkTargets(keys []Key) []string {
 	set := make(map[string]bool)
-	if len(v.Boxes) <= MeshSize {
+	if len(v.Boxes) <= MaxFullMeshBoxes {
 		for _, b := range v.Boxes {
 			set[b.ID] = true
 		}
@@ -165,27 +165,27 @@
 // linkCandidates is how many possible owners of a key a box keeps links to.
 const linkCandidates = 2
 
-// HeartbeatEvery is the time between two heartbeats in a fleet of this size.
-func (v *View) HeartbeatEvery() time.Duration {
-	if len(v.Boxes) <= MeshSize {
-		return HeartbeatEvery
+// HeartbeatInterval is the time between two heartbeats in a fleet of this size.
+func (v *View) HeartbeatInterval() time.Duration {
+	if len(v.Boxes) <= MaxFullMeshBoxes {
+		return HeartbeatInterval
 	}
 	return sparseHeartbeatEvery
 }
 
-// DeadAfter is the silence that counts as death in a fleet of this size.
-func (v *View) DeadAfter() time.Duration { return deadAfter(len(v.Boxes)) }
+// FailureTimeout is the silence that counts as death in a fleet of this size.
+func (v *View) FailureTimeout() time.Duration { return deadAfter(len(v.Boxes)) }
 
 func deadAfter(boxes int) time.Duration {
-	if boxes <= MeshSize {
-		return DeadAfter
+	if boxes <= MaxFullMeshBoxes {
+		return FailureTimeout
 	}
 	return sparseDeadAfter
 }
 
-// Choose returns the n names that come first in rendezvous order for a box. Boxes
+// SelectByRendezvous returns the n names that come first in rendezvous order for a box. Boxes
 // choose differently, so that their work spreads.
-func Choose(box string, names []string, n int) []string {
+func SelectByRendezvous(box string, names []string, n int) []string {
 	if len(names) <= n {
 		return names
 	}
--- a/pkg/objectstore/api.go
+++ b/pkg/objectstore/api.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// MaxValue is the largest value the platform holds, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value the platform holds, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Version is an object's version: it grows with each change.
 type Version uint64
@@ -15,8 +15,8 @@
 	Version Version
 }
 
-// Entry is an object's place in a listing.
-type Entry struct {
+// ObjectInfo is an object's place in a listing.
+type ObjectInfo struct {
 	Key     string  `json:"key"`
 	Version Version `json:"version"`
 }
@@ -42,9 +42,9 @@
 	// Get reads an object: NotFoundError, UnavailableError.
 	Get(ctx context.Context, key string) (Object, error)
 	// List lists the objects under a prefix, by key.
-	List(ctx context.Context, prefix string) ([]Entry, error)
+	List(ctx context.Context, prefix string) ([]ObjectInfo, error)
 	// Create stores a value under a key that must not exist: ConflictError,
-	// UnavailableError, UnknownError.
+	// UnavailableError, UnknownOutcomeError.
 	Create(ctx context.Context, key string, value []byte) (Version, error)
 	// Update replaces the value that has this version; errors as Create.
 	Update(ctx context.Context, key string, value []byte, version Version) (Version, error)
--- a/pkg/objectstore/client.go
+++ b/pkg/objectstore/client.go
@@ -42,12 +42,12 @@
 // authenticates the box; it may be empty.
 func NewClient(base, token string, budget callrate.Budget) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
-	return NewClientOver(t, base, token, budget)
+	return NewClientWithTransport(t, base, token, budget)
 }
 
-// NewClientOver is NewClient over a transport of the caller's. The transport must
+// NewClientWithTransport is NewClient over a transport of the caller's. The transport must
 // tell httptrace when it has a connection, and must not repeat requests.
-func NewClientOver(t http.RoundTripper, base, token string, budget callrate.Budget) *Client {
+func NewClientWithTransport(t http.RoundTripper, base, token string, budget callrate.Budget) *Client {
 	return &Client{
 		base:    strings.TrimSuffix(base, "/"),
 		token:   token,
@@ -85,7 +85,7 @@
 }
 
 // do makes a call. For a write, an error after the request may have gone out is
-// an UnknownError.
+// an UnknownOutcomeError.
 func (c *Client) do(ctx context.Context, cl call) (answer, error) {
 	if err := c.limiter.Wait(ctx, cl.write); err != nil {
 		return answer{}, &UnavailableError{Op: cl.op, Cause: err}
@@ -105,7 +105,7 @@
 		return a, c.judge(cl, a)
 	}
 	if cl.write && sent.Load() {
-		return answer{}, &UnknownError{Op: cl.op, Cause: err}
+		return answer{}, &UnknownOutcomeError{Op: cl.op, Cause: err}
 	}
 	return answer{}, &UnavailableError{Op: cl.op, Cause: err}
 }
@@ -136,7 +136,7 @@
 		return answer{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(stall.NewReader(req.Context(), io.LimitReader(resp.Body, MaxValue*4)))
+	body, err := io.ReadAll(stall.NewReader(req.Context(), io.LimitReader(resp.Body, MaxValueBytes*4)))
 	if err != nil {
 		return answer{}, err
 	}
@@ -160,11 +160,11 @@
 		return &UnavailableError{Op: cl.op, Cause: errNoChange}
 	case a.status >= 500 && cl.write:
 		// Also 503: a gateway may say so of a write that went through.
-		return &UnknownError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
+		return &UnknownOutcomeError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
 	case a.status >= 500:
 		return &UnavailableError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
 	}
-	return &BadAnswerError{Op: cl.op, Status: a.status}
+	return &InvalidResponseError{Op: cl.op, Status: a.status}
 }
 
 var errNoChange = errors.New("no change within the wait")
@@ -184,15 +184,15 @@
 }
 
 // List implements Objects.
-func (c *Client) List(ctx context.Context, prefix string) ([]Entry, error) {
+func (c *Client) List(ctx context.Context, prefix string) ([]ObjectInfo, error) {
 	path := "/v1/objects?prefix=" + url.QueryEscape(prefix)
 	a, err := c.do(ctx, call{op: "list", method: http.MethodGet, path: path, timeout: callTimeout})
 	if err != nil {
 		return nil, err
 	}
-	var entries []Entry
+	var entries []ObjectInfo
 	if err := json.Unmarshal(a.body, &entries); err != nil {
-		return nil, &BadAnswerError{Op: "list", Status: a.status}
+		return nil, &InvalidResponseError{Op: "list", Status: a.status}
 	}
 	return entries, nil
 }
@@ -212,7 +212,7 @@
 }
 
 func (c *Client) put(ctx context.Context, op, key string, value []byte, h http.Header) (Version, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, &TooLargeError{Key: key, Size: len(value)}
 	}
 	a, err := c.do(ctx, call{
@@ -251,7 +251,7 @@
 	}
 	var boxes []Box
 	if err := json.Unmarshal(a.body, &boxes); err != nil {
-		return nil, &BadAnswerError{Op: "boxes", Status: a.status}
+		return nil, &InvalidResponseError{Op: "boxes", Status: a.status}
 	}
 	return boxes, nil
 }
--- a/pkg/objectstore/client_test.go
+++ b/pkg/objectstore/client_test.go
@@ -47,10 +47,10 @@
 func (b *slowBody) Close() error { return nil }
 
 // listOver lists over a transport whose bytes come with a pause.
-func listOver(t *testing.T, pause time.Duration) (entries []Entry, err error) {
+func listOver(t *testing.T, pause time.Duration) (entries []ObjectInfo, err error) {
 	synctest.Test(t, func(*testing.T) {
 		list := "[" + strings.Repeat(" ", 50) + "]"
-		c := NewClientOver(slowTransport{list: list, pause: pause}, "http://platform.example", "", callrate.DefaultBudget)
+		c := NewClientWithTransport(slowTransport{list: list, pause: pause}, "http://platform.example", "", callrate.DefaultBudget)
 		entries, err = c.List(context.Background(), "prefix")
 	})
 	return entries, err
--- a/pkg/objectstore/errors.go
+++ b/pkg/objectstore/errors.go
@@ -33,18 +33,18 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownError says that a write may or may not have taken effect: its answer
+// UnknownOutcomeError says that a write may or may not have taken effect: its answer
 // was lost. Read the object back.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	Op    string
 	Cause error
 }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("the answer of the platform was lost (%s): %v: read the object back to learn whether the write took effect", e.Op, e.Cause)
 }
 
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // TooLargeError says that a value exceeds what the platform holds.
 type TooLargeError struct {
@@ -53,17 +53,17 @@
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("value of %s has %d bytes, the platform holds %d: split it", e.Key, e.Size, MaxValue)
+	return fmt.Sprintf("value of %s has %d bytes, the platform holds %d: split it", e.Key, e.Size, MaxValueBytes)
 }
 
-// BadAnswerError says that the platform answered in a way this client does not
+// InvalidResponseError says that the platform answered in a way this client does not
 // understand.
-type BadAnswerError struct {
+type InvalidResponseError struct {
 	Op     string
 	Status int
 }
 
-func (e *BadAnswerError) Error() string {
+func (e *InvalidResponseError) Error() string {
 	return fmt.Sprintf("platform answered %s with status %d: check that [platform] url names an object API and that the token is valid", e.Op, e.Status)
 }
 
@@ -73,8 +73,8 @@
 // IsConflict tells whether err is a lost conditional write.
 func IsConflict(err error) bool { return is[*ConflictError](err) }
 
-// IsUnknown tells whether err leaves open if a write took effect.
-func IsUnknown(err error) bool { return is[*UnknownError](err) }
+// IsUnknownOutcome tells whether err leaves open if a write took effect.
+func IsUnknownOutcome(err error) bool { return is[*UnknownOutcomeError](err) }
 
 // IsUnavailable tells whether the platform could not be reached or refused the
 // call for now.
--- a/pkg/objlog/errors.go
+++ b/pkg/objlog/errors.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// MovedError says that somebody else appended first. Nothing was appended.
-type MovedError struct {
+// AppendConflictError says that somebody else appended first. Nothing was appended.
+type AppendConflictError struct {
 	Log string
-	// Next is the index of the log's next record.
-	Next uint64
+	// NextIndex is the index of the log's next record.
+	NextIndex uint64
 }
 
-func (e *MovedError) Error() string {
-	return fmt.Sprintf("log %s moved on to record %d: look at the new records and decide again", e.Log, e.Next)
+func (e *AppendConflictError) Error() string {
+	return fmt.Sprintf("log %s moved on to record %d: look at the new records and decide again", e.Log, e.NextIndex)
 }
 
-// BehindError says that the platform shows an older log than one seen before:
+// StaleLogError says that the platform shows an older log than one seen before:
 // it answers with stale data, or was restored from a backup.
-type BehindError struct {
+type StaleLogError struct {
 	Log         string
 	Seen, Shown uint64
 }
 
-func (e *BehindError) Error() string {
+func (e *StaleLogError) Error() string {
 	return fmt.Sprintf("platform shows log %s up to record %d, but record %d was seen: wait if its reads are stale; if it was restored from a backup, restore a later one", e.Log, e.Shown, e.Seen)
 }
 
@@ -39,14 +39,14 @@
 
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// IsMoved tells whether somebody else appended first.
-func IsMoved(err error) bool {
-	var e *MovedError
+// IsAppendConflict tells whether somebody else appended first.
+func IsAppendConflict(err error) bool {
+	var e *AppendConflictError
 	return errors.As(err, &e)
 }
 
-// IsBehind tells whether the platform shows an older log than was seen before.
-func IsBehind(err error) bool {
-	var e *BehindError
+// IsStaleLog tells whether the platform shows an older log than was seen before.
+func IsStaleLog(err error) bool {
+	var e *StaleLogError
 	return errors.As(err, &e)
 }
--- a/pkg/objlog/log.go
+++ b/pkg/objlog/log.go
@@ -15,9 +15,9 @@
 // the log reads the open segment at every change, so it is kept small.
 const DefaultSegmentBytes = 16 << 10
 
-// Reader takes a log's content in, in order. Its methods are called with the
+// StateMachine takes a log's content in, in order. Its methods are called with the
 // log's lock held: they must not call the log.
-type Reader interface {
+type StateMachine interface {
 	// Restore replaces the state by a snapshot taken after record index.
 	Restore(index uint64, parts [][]byte) error
 	// Apply takes the record with the given index in.
@@ -29,7 +29,7 @@
 	objects objectstore.Objects
 	prefix  string
 	limit   int
-	reader  Reader
+	reader  StateMachine
 
 	mu sync.Mutex
 	// open is the head as last seen, version its version; 0 while it does not
@@ -42,7 +42,7 @@
 }
 
 // New returns a log under the key prefix. Its content is read by Refresh.
-func New(objects objectstore.Objects, prefix string, reader Reader) *Log {
+func New(objects objectstore.Objects, prefix string, reader StateMachine) *Log {
 	return &Log{
 		objects: objects,
 		prefix:  prefix,
@@ -53,8 +53,8 @@
 	}
 }
 
-// Next returns the index of the next record, as last seen.
-func (l *Log) Next() uint64 {
+// NextIndex returns the index of the next record, as last seen.
+func (l *Log) NextIndex() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open.next()
@@ -99,7 +99,7 @@
 // checkAhead fails if shown is older than what was read before.
 func (l *Log) checkAhead(shown *segment) error {
 	if shown.Number < l.open.Number || shown.next() < l.open.next() {
-		return &BehindError{Log: l.prefix, Seen: l.open.next() - 1, Shown: shown.next() - 1}
+		return &StaleLogError{Log: l.prefix, Seen: l.open.next() - 1, Shown: shown.next() - 1}
 	}
 	return nil
 }
@@ -149,14 +149,14 @@
 	return nil
 }
 
-// Append adds records at index expect, all or none. MovedError says that the log
-// is further on; the log has then been refreshed. An UnknownError is returned
+// Append adds records at index expect, all or none. AppendConflictError says that the log
+// is further on; the log has then been refreshed. An UnknownOutcomeError is returned
 // only when ctx ended before the platform gave a definite answer.
 func (l *Log) Append(ctx context.Context, expect uint64, records []Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next := l.open.next(); next != expect {
-		return &MovedError{Log: l.prefix, Next: next}
+		return &AppendConflictError{Log: l.prefix, NextIndex: next}
 	}
 	if err := l.archive(ctx); err != nil {
 		return err
@@ -190,7 +190,7 @@
 	switch {
 	case err == nil, objectstore.IsConflict(err):
 		return nil
-	case objectstore.IsUnknown(err):
+	case objectstore.IsUnknownOutcome(err):
 		// Nothing of the append itself was sent.
 		return &objectstore.UnavailableError{Op: "archive", Cause: err}
 	}
@@ -212,16 +212,16 @@
 // for the same attempts.
 func (l *Log) settle(ctx context.Context, number int, expect uint64, records []Record) error {
 	if err := l.refreshPast(ctx, l.version); err != nil {
-		return &objectstore.UnknownError{Op: "append", Cause: err}
+		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
 	found, err := l.find(ctx, number, expect, records)
 	if err != nil {
-		return &objectstore.UnknownError{Op: "append", Cause: err}
+		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
 	if found {
 		return nil
 	}
-	return &MovedError{Log: l.prefix, Next: l.open.next()}
+	return &AppendConflictError{Log: l.prefix, NextIndex: l.open.next()}
 }
 
 // refreshPast refreshes until the head has another version than the one a write
@@ -278,7 +278,7 @@
 func (l *Log) writeUntilDefinite(ctx context.Context, value []byte) (objectstore.Version, error) {
 	pause := newPause()
 	v, err := l.write(ctx, value)
-	if !objectstore.IsUnknown(err) {
+	if !objectstore.IsUnknownOutcome(err) {
 		return v, err
 	}
 	lost := err
@@ -302,9 +302,9 @@
 	return l.objects.Update(ctx, l.headKey(), value, l.version)
 }
 
-// Await waits until the log has grown since it was last read, and reads what is
+// WaitForChange waits until the log has grown since it was last read, and reads what is
 // new: one call of the platform, as the answer to a watch is the head itself.
-func (l *Log) Await(ctx context.Context) error {
+func (l *Log) WaitForChange(ctx context.Context) error {
 	l.mu.Lock()
 	after := l.version
 	l.mu.Unlock()
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -116,7 +116,7 @@
 	case "restart":
 		r.logs[o.Log] = newClient(r.platform.Client())
 	case "fold":
-		_ = l.Fold(ctx, l.memory.state)
+		_ = l.Compact(ctx, l.memory.state)
 	case "faults":
 		r.platform.SetFaults(o.Faults)
 	case "heal":
@@ -126,12 +126,12 @@
 
 func (r *run) append(ctx context.Context, l *client) {
 	r.n++
-	id, at := fmt.Sprint("r", r.n), l.Next()
+	id, at := fmt.Sprint("r", r.n), l.NextIndex()
 	err := l.Append(ctx, at, []Record{rec(id)})
 	switch {
 	case err == nil:
 		r.said[id] = at
-	case !objectstore.IsUnknown(err):
+	case !objectstore.IsUnknownOutcome(err):
 		r.refused[id] = true
 	}
 }
@@ -197,7 +197,7 @@
 
 func gated(p *standin.Server) (*gate, *client) {
 	g := &gate{next: p.Transport()}
-	return g, newClient(objectstore.NewClientOver(g, "http://platform", "", callrate.DefaultBudget))
+	return g, newClient(objectstore.NewClientWithTransport(g, "http://platform", "", callrate.DefaultBudget))
 }
 
 func TestPausedWriterLosesItsPlace(t *testing.T) {
@@ -211,7 +211,7 @@
 		require.NoError(t, other.Append(ctx, 1, []Record{rec("other")}))
 	}
 	err := paused.Append(ctx, 1, []Record{rec("paused")})
-	require.True(t, IsMoved(err), "%v", err)
+	require.True(t, IsAppendConflict(err), "%v", err)
 	require.Equal(t, []string{"other"}, paused.memory.ids)
 }
 
@@ -251,7 +251,7 @@
 			g.hold = func() {
 				require.NoError(t, other.Refresh(ctx))
 				for i := range 20 {
-					require.NoError(t, other.Append(ctx, other.Next(), []Record{rec(fmt.Sprint("other", i))}))
+					require.NoError(t, other.Append(ctx, other.NextIndex(), []Record{rec(fmt.Sprint("other", i))}))
 				}
 			}
 		}
@@ -269,9 +269,9 @@
 	backup := p.Snapshot()
 	require.NoError(t, l.Append(ctx, 2, []Record{rec("b")}))
 	p.Restore(backup)
-	require.True(t, IsBehind(l.Refresh(ctx)))
+	require.True(t, IsStaleLog(l.Refresh(ctx)))
 	err := l.Append(ctx, 3, []Record{rec("c")})
-	require.True(t, IsBehind(err), "%v", err)
+	require.True(t, IsStaleLog(err), "%v", err)
 	require.Equal(t, []string{"a", "b"}, l.memory.ids)
 }
 
@@ -283,7 +283,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		err := l.Append(ctx, 1, []Record{rec("a")})
-		require.True(t, objectstore.IsUnknown(err), "%v", err)
+		require.True(t, objectstore.IsUnknownOutcome(err), "%v", err)
 	})
 }
 
@@ -311,10 +311,10 @@
 	first, second := newClient(p.Client()), newClient(p.Client())
 	require.NoError(t, first.Refresh(ctx))
 	require.NoError(t, second.Refresh(ctx))
-	next := first.Next()
+	next := first.NextIndex()
 	shared, alone := Record{ID: "shared", Data: []byte("{}")}, Record{ID: "alone", Data: []byte("{}")}
 	require.NoError(t, first.Append(ctx, next, []Record{shared}))
 	err := second.Append(ctx, next, []Record{shared, alone})
-	require.True(t, IsMoved(err), "%v", err)
+	require.True(t, IsAppendConflict(err), "%v", err)
 	require.Equal(t, []string{"shared"}, second.memory.ids)
 }
--- a/pkg/objlog/snapshot.go
+++ b/pkg/objlog/snapshot.go
@@ -9,22 +9,22 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// FoldAfter is the number of archived segments that make a snapshot worth while.
-const FoldAfter = 16
+// MinSegmentsToCompact is the number of archived segments that make a snapshot worth while.
+const MinSegmentsToCompact = 16
 
-// Foldable tells whether enough archived segments stand before the head, and
+// CanCompact tells whether enough archived segments stand before the head, and
 // nobody folds them already.
-func (l *Log) Foldable() bool {
+func (l *Log) CanCompact() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.folding && l.open.Number-l.oldest >= FoldAfter
+	return !l.folding && l.open.Number-l.oldest >= MinSegmentsToCompact
 }
 
-// Fold stores the reader's state after the last record read as a snapshot, and
+// Compact stores the reader's state after the last record read as a snapshot, and
 // deletes the archives that it covers. State is called with the log's lock held;
 // it returns false when it can't give the state after that record. Folding what
 // somebody else folded already has no effect.
-func (l *Log) Fold(ctx context.Context, state func(index uint64) (parts [][]byte, ok bool)) error {
+func (l *Log) Compact(ctx context.Context, state func(index uint64) (parts [][]byte, ok bool)) error {
 	l.mu.Lock()
 	index := l.open.next() - 1
 	parts, ok := state(index)
@@ -119,7 +119,7 @@
 		newest = max(newest, l.keyNumber(e.Key, snapshotDir))
 	}
 	if newest < 0 || uint64(newest)+1 < l.open.next() {
-		return &BehindError{Log: l.prefix, Seen: l.open.next() - 1, Shown: uint64(max(newest, 0))}
+		return &StaleLogError{Log: l.prefix, Seen: l.open.next() - 1, Shown: uint64(max(newest, 0))}
 	}
 	return l.restore(ctx, uint64(newest))
 }
--- a/pkg/peer/credentials.go
+++ b/pkg/peer/credentials.go
@@ -24,16 +24,16 @@
 
 func (e *CredentialsError) Unwrap() error { return e.Cause }
 
-// Security makes the credentials of both sides of a link.
-type Security struct {
+// Credentials makes the credentials of both sides of a link.
+type Credentials struct {
 	tls *tls.Config
 }
 
-// LoadSecurity reads the keys that the settings name and checks that they fit
+// LoadCredentials reads the keys that the settings name and checks that they fit
 // together. Plain mode has none.
-func LoadSecurity(p settings.Peers) (*Security, error) {
+func LoadCredentials(p settings.Peers) (*Credentials, error) {
 	if p.Mode == settings.PeerModePlain {
-		return &Security{}, nil
+		return &Credentials{}, nil
 	}
 	cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, &CredentialsError{File: p.CertFile, Cause: err}
 	}
-	return &Security{tls: &tls.Config{
+	return &Credentials{tls: &tls.Config{
 		Certificates: []tls.Certificate{cert},
 		RootCAs:      roots,
 		ClientCAs:    roots,
@@ -61,7 +61,7 @@
 }
 
 // server returns the credentials of the peer port.
-func (s *Security) server() credentials.TransportCredentials {
+func (s *Credentials) server() credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
 	}
@@ -70,7 +70,7 @@
 
 // client returns the credentials for calling a box: its certificate must name
 // its ID.
-func (s *Security) client(box string) credentials.TransportCredentials {
+func (s *Credentials) client(box string) credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
 	}
@@ -81,7 +81,7 @@
 
 // seed returns the credentials for calling a box whose ID is not known: its
 // certificate must be signed by the roots, whatever it names.
-func (s *Security) seed() credentials.TransportCredentials {
+func (s *Credentials) seed() credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
 	}
--- a/pkg/peer/links.go
+++ b/pkg/peer/links.go
@@ -17,21 +17,21 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// Holder takes in what owners decide for this box.
-type Holder interface {
-	// Down takes a decision of the box owner.
-	Down(owner string, m *peerpb.DownMessage)
-	// LinkUp says that messages can be sent to a box from now on; everything
+// DownHandler takes in what owners decide for this box.
+type DownHandler interface {
+	// HandleDown takes a decision of the box owner.
+	HandleDown(owner string, m *peerpb.DownMessage)
+	// HandleLinkUp says that messages can be sent to a box from now on; everything
 	// sent before is lost.
-	LinkUp(box string)
+	HandleLinkUp(box string)
 }
 
 // Links keeps this box's links to others.
 type Links struct {
 	ctx      context.Context
 	self     *Self
-	security *Security
-	holder   Holder
+	security *Credentials
+	holder   DownHandler
 	logger   log.Logger
 
 	mu    sync.Mutex
@@ -51,7 +51,7 @@
 }
 
 // NewLinks returns links that live until ctx ends.
-func NewLinks(ctx context.Context, self *Self, sec *Security, holder Holder, logger log.Logger) *Links {
+func NewLinks(ctx context.Context, self *Self, sec *Credentials, holder DownHandler, logger log.Logger) *Links {
 	return &Links{ctx: ctx, self: self, security: sec, holder: holder, logger: logger, links: make(map[string]*link), calls: make(map[string]*callConn)}
 }
 
@@ -61,12 +61,12 @@
 )
 
 // Dial returns a connection to a box at an address.
-func (s *Security) Dial(box, address string) (*grpc.ClientConn, error) {
+func (s *Credentials) Dial(box, address string) (*grpc.ClientConn, error) {
 	return dial(address, s.client(box))
 }
 
 // DialSeed returns a connection to whichever box is at an address.
-func (s *Security) DialSeed(address string) (*grpc.ClientConn, error) {
+func (s *Credentials) DialSeed(address string) (*grpc.ClientConn, error) {
 	return dial(address, s.seed())
 }
 
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	k := &link{box: box, address: address, conn: conn, cancel: cancel}
 	l.links[box] = k
-	l.self.Tracker.Linked(box)
+	l.self.Tracker.MarkLinked(box)
 	l.wg.Go(func() {
 		defer conn.Close()
 		l.run(ctx, k)
@@ -123,7 +123,7 @@
 func (l *Links) run(ctx context.Context, k *link) {
 	for ctx.Err() == nil {
 		err := l.stream(ctx, k)
-		l.self.Tracker.LinkBroke(time.Now(), k.box)
+		l.self.Tracker.MarkLinkDown(time.Now(), k.box)
 		level.Debug(l.logger).Log("msg", "link down", "peer", k.box, "err", err)
 		select {
 		case <-ctx.Done():
@@ -148,7 +148,7 @@
 	defer cancel()
 	wg.Go(func() { sendUp(ctx, cancel, s, q) })
 	wg.Go(func() {
-		every(ctx, l.self.Tracker.View().HeartbeatEvery(), func() { q.Put(l.beatMessage()) })
+		every(ctx, l.self.Tracker.View().HeartbeatInterval(), func() { q.Put(l.beatMessage()) })
 	})
 	up := false
 	for {
@@ -159,7 +159,7 @@
 		if !up {
 			// The first answer proves that the stream stands.
 			up = true
-			l.holder.LinkUp(k.box)
+			l.holder.HandleLinkUp(k.box)
 		}
 		l.receive(k.box, down)
 	}
@@ -184,7 +184,7 @@
 			l.self.heard(h)
 			continue
 		}
-		l.holder.Down(box, m)
+		l.holder.HandleDown(box, m)
 	}
 }
 
@@ -198,7 +198,7 @@
 	k.queue = q
 }
 
-// Send queues a message to a box. False means that there is no link up; LinkUp
+// Send queues a message to a box. False means that there is no link up; HandleLinkUp
 // will tell when there is.
 func (l *Links) Send(box string, m *peerpb.UpMessage) bool {
 	l.mu.Lock()
@@ -210,9 +210,9 @@
 	return k.queue.Put(m)
 }
 
-// Beat sends a heartbeat on every link at once, as when this box stops or has a
+// BroadcastHeartbeat sends a heartbeat on every link at once, as when this box stops or has a
 // new configuration.
-func (l *Links) Beat() {
+func (l *Links) BroadcastHeartbeat() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.links {
--- a/pkg/peer/links_test.go
+++ b/pkg/peer/links_test.go
@@ -20,13 +20,13 @@
 // echoOwner grants every reservation at once.
 type echoOwner struct{}
 
-func (echoOwner) Up(c *Conn, m *peerpb.UpMessage) {
+func (echoOwner) HandleUp(c *Conn, m *peerpb.UpMessage) {
 	if r := m.GetReserve(); r != nil {
-		c.Send(&peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{Shard: r.GetShard(), Seq: r.GetSeq(), Server: "server-0001", Epoch: 1 << 60, EchoNanos: c.Echo()}}})
+		c.Send(&peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{Shard: r.GetShard(), Seq: r.GetSeq(), Server: "server-0001", Epoch: 1 << 60, EchoNanos: c.EchoNanos()}}})
 	}
 }
 
-func (echoOwner) Gone(*Conn) {}
+func (echoOwner) HandleLinkDown(*Conn) {}
 
 // holder counts what it is told.
 type holder struct {
@@ -34,15 +34,15 @@
 	down chan uint64
 }
 
-func (h *holder) Down(_ string, m *peerpb.DownMessage) { h.down <- m.GetGrant().GetSeq() }
-func (h *holder) LinkUp(box string)                    { h.up <- box }
+func (h *holder) HandleDown(_ string, m *peerpb.DownMessage) { h.down <- m.GetGrant().GetSeq() }
+func (h *holder) HandleLinkUp(box string)                    { h.up <- box }
 
 // withLinks runs fn with a box linked to n others over loopback.
 func withLinks(tb testing.TB, n int, fn func(l *Links, h *holder)) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	sec := &Security{}
+	sec := &Credentials{}
 	targets := make(map[string]string)
 	for i := range n {
 		id := fmt.Sprintf("box-%04d", i+1)
--- a/pkg/peer/self.go
+++ b/pkg/peer/self.go
@@ -9,19 +9,19 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// Origin names one run of a box.
-type Origin struct {
+// Instance names one run of a box.
+type Instance struct {
 	Box string
 	// Incarnation is new at each start.
 	Incarnation string
 }
 
 // Key is the origin in one word, as the scheduler's request IDs carry it.
-func (o Origin) Key() string { return o.Box + "/" + o.Incarnation }
+func (o Instance) Key() string { return o.Box + "/" + o.Incarnation }
 
 // Self is what this box says in its heartbeats.
 type Self struct {
-	Origin
+	Instance
 	Tracker *membership.Tracker
 	// Generation returns the configuration generation in force.
 	Generation func() uint64
@@ -32,7 +32,7 @@
 // NewSelf returns the identity of this run of a box.
 func NewSelf(box string, t *membership.Tracker, generation func() uint64) *Self {
 	return &Self{
-		Origin:     Origin{Box: box, Incarnation: randomID()},
+		Instance:   Instance{Box: box, Incarnation: randomID()},
 		Tracker:    t,
 		Generation: generation,
 		started:    time.Now(),
@@ -46,8 +46,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Clock is the box's monotonic clock in nanoseconds, as sent in heartbeats.
-func (s *Self) Clock() int64 { return int64(time.Since(s.started)) }
+// MonotonicNanos is the box's monotonic clock in nanoseconds, as sent in heartbeats.
+func (s *Self) MonotonicNanos() int64 { return int64(time.Since(s.started)) }
 
 func (s *Self) heartbeat() *peerpb.Heartbeat {
 	b := s.Tracker.Self()
@@ -56,7 +56,7 @@
 		Incarnation: s.Incarnation,
 		Generation:  s.Generation(),
 		Stopping:    b.Stopping || b.Unlisted,
-		SentNanos:   s.Clock(),
+		SentNanos:   s.MonotonicNanos(),
 		Hall:        b.Hall,
 		Region:      b.Region,
 		Peer:        b.Peer,
@@ -65,7 +65,7 @@
 
 // heard passes a peer's heartbeat to the tracker.
 func (s *Self) heard(h *peerpb.Heartbeat) {
-	s.Tracker.Heard(time.Now(), membership.Heartbeat{
+	s.Tracker.RecordHeartbeat(time.Now(), membership.Heartbeat{
 		Box:         h.GetBox(),
 		Incarnation: h.GetIncarnation(),
 		Generation:  h.GetGeneration(),
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -22,16 +22,16 @@
 // requests, or a part of the configuration.
 const messageMost = 16 << 20
 
-// Owner takes in what boxes send to the shards owned here.
-type Owner interface {
-	// Up takes a message of a linked box; decisions go back through c.
-	Up(c *Conn, m *peerpb.UpMessage)
-	// Gone says that the link broke.
-	Gone(c *Conn)
+// UpHandler takes in what boxes send to the shards owned here.
+type UpHandler interface {
+	// HandleUp takes a message of a linked box; decisions go back through c.
+	HandleUp(c *Conn, m *peerpb.UpMessage)
+	// HandleLinkDown says that the link broke.
+	HandleLinkDown(c *Conn)
 }
 
-// Calls answers the single calls of peers.
-type Calls interface {
+// CallHandler answers the single calls of peers.
+type CallHandler interface {
 	Claim(context.Context, *peerpb.ClaimRequest) (*peerpb.ClaimReply, error)
 	EndClaim(context.Context, *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error)
 	PullConfig(*peerpb.PullConfigRequest, grpc.ServerStreamingServer[peerpb.PullConfigReply]) error
@@ -40,35 +40,35 @@
 
 // Conn is the owner's end of a link: where decisions for one box go.
 type Conn struct {
-	Origin
+	Instance
 	send func(*peerpb.DownMessage)
 	echo atomic.Int64
 }
 
 // NewConn returns a link end whose decisions go to send. The link of a box to
 // itself is made so.
-func NewConn(o Origin, send func(*peerpb.DownMessage)) *Conn {
-	return &Conn{Origin: o, send: send}
+func NewConn(o Instance, send func(*peerpb.DownMessage)) *Conn {
+	return &Conn{Instance: o, send: send}
 }
 
 // Send passes a decision on.
 func (c *Conn) Send(m *peerpb.DownMessage) { c.send(m) }
 
-// Echo is the last clock value that the box sent.
-func (c *Conn) Echo() int64 { return c.echo.Load() }
+// EchoNanos is the last clock value that the box sent.
+func (c *Conn) EchoNanos() int64 { return c.echo.Load() }
 
 // Server is the peer port.
 type Server struct {
 	peerpb.UnimplementedPeerServer
-	Calls
+	CallHandler
 
 	self   *Self
-	owner  Owner
+	owner  UpHandler
 	logger log.Logger
 }
 
 // NewServer returns a grpc server for the peer port.
-func NewServer(sec *Security, self *Self, owner Owner, calls Calls, logger log.Logger) *grpc.Server {
+func NewServer(sec *Credentials, self *Self, owner UpHandler, calls CallHandler, logger log.Logger) *grpc.Server {
 	g := grpc.NewServer(
 		grpc.Creds(sec.server()),
 		grpc.MaxRecvMsgSize(messageMost),
@@ -76,31 +76,31 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 2 * time.Second, PermitWithoutStream: true}),
 	)
-	peerpb.RegisterPeerServer(g, &Server{Calls: calls, self: self, owner: owner, logger: logger})
+	peerpb.RegisterPeerServer(g, &Server{CallHandler: calls, self: self, owner: owner, logger: logger})
 	return g
 }
 
-// Claim, EndClaim, PullConfig and Status resolve to Calls, not to the
+// Claim, EndClaim, PullConfig and Status resolve to CallHandler, not to the
 // unimplemented stubs.
 
 // Claim implements peerpb.PeerServer.
 func (s *Server) Claim(ctx context.Context, r *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
-	return s.Calls.Claim(ctx, r)
+	return s.CallHandler.Claim(ctx, r)
 }
 
 // EndClaim implements peerpb.PeerServer.
 func (s *Server) EndClaim(ctx context.Context, r *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error) {
-	return s.Calls.EndClaim(ctx, r)
+	return s.CallHandler.EndClaim(ctx, r)
 }
 
 // PullConfig implements peerpb.PeerServer.
 func (s *Server) PullConfig(r *peerpb.PullConfigRequest, st grpc.ServerStreamingServer[peerpb.PullConfigReply]) error {
-	return s.Calls.PullConfig(r, st)
+	return s.CallHandler.PullConfig(r, st)
 }
 
 // Status implements peerpb.PeerServer.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	return s.Calls.Status(ctx, r)
+	return s.CallHandler.Status(ctx, r)
 }
 
 // Link implements peerpb.PeerServer. The first message must be a heartbeat that
@@ -129,32 +129,32 @@
 		}
 		s.receive(c, up)
 	}
-	s.owner.Gone(c)
+	s.owner.HandleLinkDown(c)
 	cancel()
 	wg.Wait()
 	return nil
 }
 
-func (s *Server) identify(ctx context.Context, first *peerpb.Up) (Origin, error) {
+func (s *Server) identify(ctx context.Context, first *peerpb.Up) (Instance, error) {
 	if len(first.GetMessages()) == 0 || first.Messages[0].GetHeartbeat() == nil {
-		return Origin{}, status.Error(codes.InvalidArgument, "a link begins with a heartbeat")
+		return Instance{}, status.Error(codes.InvalidArgument, "a link begins with a heartbeat")
 	}
 	h := first.Messages[0].GetHeartbeat()
 	p, ok := grpcpeer.FromContext(ctx)
 	if ok && !names(p.AuthInfo, h.GetBox()) {
-		return Origin{}, status.Errorf(codes.PermissionDenied, "the certificate does not name box %q: issue one that does", h.GetBox())
+		return Instance{}, status.Errorf(codes.PermissionDenied, "the certificate does not name box %q: issue one that does", h.GetBox())
 	}
-	return Origin{Box: h.GetBox(), Incarnation: h.GetIncarnation()}, nil
+	return Instance{Box: h.GetBox(), Incarnation: h.GetIncarnation()}, nil
 }
 
 func (s *Server) receive(c *Conn, up *peerpb.Up) {
 	for _, m := range up.GetMessages() {
 		if h := m.GetHeartbeat(); h != nil {
-			c.SetEcho(h.GetSentNanos())
+			c.SetEchoNanos(h.GetSentNanos())
 			s.self.heard(h)
 			continue
 		}
-		s.owner.Up(c, m)
+		s.owner.HandleUp(c, m)
 	}
 }
 
@@ -174,7 +174,7 @@
 }
 
 func (s *Server) beat(ctx context.Context, q *mailbox.Mailbox[*peerpb.DownMessage]) {
-	every(ctx, s.self.Tracker.View().HeartbeatEvery(), func() {
+	every(ctx, s.self.Tracker.View().HeartbeatInterval(), func() {
 		q.Put(&peerpb.DownMessage{Kind: &peerpb.DownMessage_Heartbeat{Heartbeat: s.self.heartbeat()}})
 	})
 }
@@ -193,5 +193,5 @@
 	}
 }
 
-// SetEcho notes the clock value that the box sent last.
-func (c *Conn) SetEcho(nanos int64) { c.echo.Store(nanos) }
+// SetEchoNanos notes the clock value that the box sent last.
+func (c *Conn) SetEchoNanos(nanos int64) { c.echo.Store(nanos) }
--- a/pkg/shard/broker.go
+++ b/pkg/shard/broker.go
@@ -51,7 +51,7 @@
 	logger  log.Logger
 	// local is the owner on this box. Messages to it are queued in localMailbox, as
 	// those to a peer are queued in its link.
-	local        peer.Owner
+	local        peer.UpHandler
 	localConn    *peer.Conn
 	localMailbox *mailbox.Mailbox[*peerpb.UpMessage]
 
@@ -97,7 +97,7 @@
 }
 
 // NewBroker returns a broker; call SetSender before using it.
-func NewBroker(self *peer.Self, store *config.Store, tracker *membership.Tracker, local peer.Owner, logger log.Logger) *Broker {
+func NewBroker(self *peer.Self, store *config.Store, tracker *membership.Tracker, local peer.UpHandler, logger log.Logger) *Broker {
 	b := &Broker{
 		self:    self,
 		store:   store,
@@ -108,7 +108,7 @@
 		logger:       logger,
 		shards:       make(map[string]*shardState),
 	}
-	b.localConn = peer.NewConn(self.Origin, func(m *peerpb.DownMessage) { b.Down(self.Box, m) })
+	b.localConn = peer.NewConn(self.Instance, func(m *peerpb.DownMessage) { b.HandleDown(self.Box, m) })
 	return b
 }
 
@@ -145,7 +145,7 @@
 			return
 		}
 		for _, m := range batch {
-			b.local.Up(b.localConn, m)
+			b.local.HandleUp(b.localConn, m)
 		}
 	}
 }
@@ -175,8 +175,8 @@
 	return s
 }
 
-// LinkUp implements peer.Holder.
-func (b *Broker) LinkUp(box string) {
+// HandleLinkUp implements peer.DownHandler.
+func (b *Broker) HandleLinkUp(box string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.shards {
@@ -203,7 +203,7 @@
 }
 
 // send sends a message to an owner without blocking. Without a connection the
-// message is dropped; LinkUp registers all reservations again.
+// message is dropped; HandleLinkUp registers all reservations again.
 func (b *Broker) send(owner string, m *peerpb.UpMessage) {
 	if owner == b.self.Box {
 		b.localMailbox.Put(m)
@@ -261,8 +261,8 @@
 	return &peerpb.UpMessage{Kind: &peerpb.UpMessage_Cancel{Cancel: &peerpb.Cancel{Shard: shard, Seq: seq}}}
 }
 
-// Down implements peer.Holder: it handles an owner's decision.
-func (b *Broker) Down(owner string, m *peerpb.DownMessage) {
+// HandleDown implements peer.DownHandler: it handles an owner's decision.
+func (b *Broker) HandleDown(owner string, m *peerpb.DownMessage) {
 	switch k := m.GetKind().(type) {
 	case *peerpb.DownMessage_Grant:
 		b.handleGrant(owner, k.Grant)
@@ -279,7 +279,7 @@
 // heartbeat that its owner had received from this box is older than the dead-box
 // timeout, as happens when an owner resumes after a pause.
 func (b *Broker) handleGrant(owner string, g *peerpb.Grant) {
-	fresh := owner == b.self.Box || b.self.Clock()-g.GetEchoNanos() < int64(b.tracker.View().DeadAfter())
+	fresh := owner == b.self.Box || b.self.MonotonicNanos()-g.GetEchoNanos() < int64(b.tracker.View().FailureTimeout())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(g.GetShard())
--- a/pkg/shard/eligible.go
+++ b/pkg/shard/eligible.go
@@ -6,7 +6,7 @@
 )
 
 // maxShardsPerBox bounds the shards of one service that a box reserves in when the
-// fleet has more than membership.MeshSize boxes: each shard needs connections to
+// fleet has more than membership.MaxFullMeshBoxes boxes: each shard needs connections to
 // its owner and to the next owner in line.
 const maxShardsPerBox = parallelReservations
 
@@ -15,7 +15,7 @@
 func Eligible(st *config.State, v *membership.View, service, hall string) []config.Shard {
 	all := st.ShardsOf(service)
 	limit := maxShardsPerBox
-	if len(v.Boxes) <= membership.MeshSize {
+	if len(v.Boxes) <= membership.MaxFullMeshBoxes {
 		limit = len(all)
 	}
 	byID := make(map[string]config.Shard, len(all))
@@ -28,9 +28,9 @@
 		}
 		far = append(far, sh.ID)
 	}
-	ids := membership.Choose(v.Self, near, limit)
+	ids := membership.SelectByRendezvous(v.Self, near, limit)
 	if left := limit - len(ids); left > 0 {
-		ids = append(ids[:len(ids):len(ids)], membership.Choose(v.Self, far, left)...)
+		ids = append(ids[:len(ids):len(ids)], membership.SelectByRendezvous(v.Self, far, left)...)
 	}
 	list := make([]config.Shard, 0, len(ids))
 	for _, id := range ids {
--- a/pkg/shard/fuzz_test.go
+++ b/pkg/shard/fuzz_test.go
@@ -34,15 +34,15 @@
 			net := newNetwork(ctx, t, 1)
 			time.Sleep(2 * time.Second)
 			b := net.boxes["b0"]
-			c := peer.NewConn(peer.Origin{Box: "x", Incarnation: "y"}, func(*peerpb.DownMessage) {})
+			c := peer.NewConn(peer.Instance{Box: "x", Incarnation: "y"}, func(*peerpb.DownMessage) {})
 			for _, m := range up.GetMessages() {
-				b.runner.Up(c, m)
+				b.runner.HandleUp(c, m)
 			}
 			for _, m := range down.GetMessages() {
-				b.broker.Down("b0", m)
+				b.broker.HandleDown("b0", m)
 			}
 			time.Sleep(time.Second)
-			b.runner.Gone(c)
+			b.runner.HandleLinkDown(c)
 			time.Sleep(5 * time.Second)
 			running, _ := net.slotCounts()
 			require.Zero(t, running)
--- a/pkg/shard/runner.go
+++ b/pkg/shard/runner.go
@@ -82,7 +82,7 @@
 		case <-configChanged:
 			return true
 		case now := <-t.C:
-			r.tracker.Tick(now)
+			r.tracker.ExpireHeartbeats(now)
 			for _, o := range r.ownedShards() {
 				r.sendDecisions(o, o.tick(now))
 			}
@@ -128,8 +128,8 @@
 	return list
 }
 
-// Up implements peer.Owner.
-func (r *Runner) Up(c *peer.Conn, m *peerpb.UpMessage) {
+// HandleUp implements peer.UpHandler.
+func (r *Runner) HandleUp(c *peer.Conn, m *peerpb.UpMessage) {
 	id := messageShard(m)
 	r.mu.Lock()
 	r.conns[c.Key()] = c
@@ -169,8 +169,8 @@
 	return ids
 }
 
-// Gone implements peer.Owner.
-func (r *Runner) Gone(c *peer.Conn) {
+// HandleLinkDown implements peer.UpHandler.
+func (r *Runner) HandleLinkDown(c *peer.Conn) {
 	r.mu.Lock()
 	if r.conns[c.Key()] != c {
 		// The box has already reconnected.
@@ -192,7 +192,7 @@
 			continue
 		}
 		c.Send(&peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{
-			Shard: o.id, Seq: g.ID.Seq, Server: g.Server, Epoch: o.epoch, EchoNanos: c.Echo(),
+			Shard: o.id, Seq: g.ID.Seq, Server: g.Server, Epoch: o.epoch, EchoNanos: c.EchoNanos(),
 		}}})
 	}
 	for _, f := range d.Refusals {
--- a/pkg/shard/shard_test.go
+++ b/pkg/shard/shard_test.go
@@ -73,11 +73,11 @@
 	}
 	down := mailbox.New[*peerpb.DownMessage]()
 	l := &testLink{up: mailbox.New[*peerpb.UpMessage]()}
-	l.conn = peer.NewConn(b.self.Origin, func(m *peerpb.DownMessage) { down.Put(m) })
+	l.conn = peer.NewConn(b.self.Instance, func(m *peerpb.DownMessage) { down.Put(m) })
 	b.links[box] = l
 	other := b.net.boxes[box]
-	go deliverMessages(b.net, b.id, box, l.up, func(m *peerpb.UpMessage) { other.runner.Up(l.conn, m) })
-	go deliverMessages(b.net, b.id, box, down, func(m *peerpb.DownMessage) { b.broker.Down(box, m) })
+	go deliverMessages(b.net, b.id, box, l.up, func(m *peerpb.UpMessage) { other.runner.HandleUp(l.conn, m) })
+	go deliverMessages(b.net, b.id, box, down, func(m *peerpb.DownMessage) { b.broker.HandleDown(box, m) })
 	return l
 }
 
@@ -168,11 +168,11 @@
 				if a == b || n.isDisconnected(a.id, b.id) {
 					continue
 				}
-				b.tracker.Heard(now, membership.Heartbeat{Box: a.id, Incarnation: a.self.Incarnation})
-				a.link(b.id).conn.SetEcho(a.self.Clock())
+				b.tracker.RecordHeartbeat(now, membership.Heartbeat{Box: a.id, Incarnation: a.self.Incarnation})
+				a.link(b.id).conn.SetEchoNanos(a.self.MonotonicNanos())
 			}
 		}
-		time.Sleep(membership.HeartbeatEvery)
+		time.Sleep(membership.HeartbeatInterval)
 	}
 }
 
@@ -188,9 +188,9 @@
 			switch {
 			case a.id != id && other != id, a.id == other:
 			case isolated:
-				n.boxes[other].runner.Gone(a.link(other).conn)
+				n.boxes[other].runner.HandleLinkDown(a.link(other).conn)
 			default:
-				a.broker.LinkUp(other)
+				a.broker.HandleLinkUp(other)
 			}
 		}
 	}
@@ -316,15 +316,15 @@
 		owner, seq := b.state("s").owner, b.seq
 		b.mu.Unlock()
 		sendGrant := func(from, server string, echo int64) {
-			b.Down(from, &peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{Shard: "s", Seq: seq, Server: server, EchoNanos: echo}}})
+			b.HandleDown(from, &peerpb.DownMessage{Kind: &peerpb.DownMessage_Grant{Grant: &peerpb.Grant{Shard: "s", Seq: seq, Server: server, EchoNanos: echo}}})
 		}
 		for id := range net.boxes {
 			if id != owner {
-				sendGrant(id, "from-other-box", b.self.Clock())
+				sendGrant(id, "from-other-box", b.self.MonotonicNanos())
 			}
 		}
 		if owner != "b0" {
-			sendGrant(owner, "stale", b.self.Clock()-int64(2*membership.DeadAfter))
+			sendGrant(owner, "stale", b.self.MonotonicNanos()-int64(2*membership.FailureTimeout))
 		}
 		time.Sleep(100 * time.Millisecond)
 		require.Empty(t, got, "an invalid grant was used")
--- a/pkg/standin/objectstore/platform.go
+++ b/pkg/standin/objectstore/platform.go
@@ -261,10 +261,10 @@
 func (s *Server) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	prefix := r.URL.Query().Get("prefix")
 	s.mu.Lock()
-	entries := []objectstore.Entry{}
+	entries := []objectstore.ObjectInfo{}
 	for k, o := range s.visible() {
 		if strings.HasPrefix(k, prefix) {
-			entries = append(entries, objectstore.Entry{Key: k, Version: o.version})
+			entries = append(entries, objectstore.ObjectInfo{Key: k, Version: o.version})
 		}
 	}
 	s.mu.Unlock()
@@ -283,8 +283,8 @@
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, objectstore.MaxValue+1))
-	if err != nil || len(body) > objectstore.MaxValue {
+	body, err := io.ReadAll(io.LimitReader(r.Body, objectstore.MaxValueBytes+1))
+	if err != nil || len(body) > objectstore.MaxValueBytes {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
--- a/pkg/standin/objectstore/transport.go
+++ b/pkg/standin/objectstore/transport.go
@@ -19,7 +19,7 @@
 
 // Client returns a client that reaches the stand-in without a socket.
 func (s *Server) Client() *objectstore.Client {
-	return objectstore.NewClientOver(s.Transport(), "http://platform", "", callrate.DefaultBudget)
+	return objectstore.NewClientWithTransport(s.Transport(), "http://platform", "", callrate.DefaultBudget)
 }
 
 type transport Server
