--- a/pkg/intent/plan.go
+++ b/pkg/intent/plan.go
@@ -34,7 +34,7 @@
 	New  string `json:"new"`
 }
 
-// Plan is the change that an intent leads to. It is self-contained, so that any
+// Plan is the change required to apply an intent. It is self-contained, so that any
 // box can confirm it.
 type Plan struct {
 	// ID is a hash of Base and Change.
--- a/pkg/measure/run.go
+++ b/pkg/measure/run.go
@@ -100,7 +100,7 @@
 	reportInterval = 500 * time.Millisecond
 	// maxRetries is the number of times that a refused caller retries.
 	maxRetries = 2
-	// reconnectDelay is the time until a call sent to a dead server is placed again.
+	// reconnectDelay is the time until a call sent to a server that is down is placed again.
 	reconnectDelay = 20 * time.Millisecond
 )
 
