--- a/pkg/autoscale/forecast.go
+++ b/pkg/autoscale/forecast.go
@@ -7,8 +7,8 @@
 	trendWindow = 1200 * time.Millisecond
 	// maxForecastRatio caps the forecast as a multiple of the current load.
 	maxForecastRatio = 1.15
-	// forecastHold is how long a forecast is retained after it was made.
-	forecastHold = 4 * time.Second
+	// forecastRetention is how long a forecast is retained after it was made.
+	forecastRetention = 4 * time.Second
 )
 
 // Forecast predicts the load at the time when a server ordered now would begin to serve.
@@ -28,7 +28,7 @@
 		s.forecast = min(max(load, load+slope*boot.Seconds()), maxForecastRatio*load)
 	}
 	f.samples = append(f.samples, s)
-	for len(f.samples) > 0 && now.Sub(f.samples[0].at) > forecastHold {
+	for len(f.samples) > 0 && now.Sub(f.samples[0].at) > forecastRetention {
 		f.samples = f.samples[1:]
 	}
 }
--- a/pkg/autoscale/planner.go
+++ b/pkg/autoscale/planner.go
@@ -19,7 +19,7 @@
 	// bootMargin is added to the boot time before an ordered server that is not listed counts as
 	// lost.
 	bootMargin = 3 * time.Second
-	// leaveMargin is how long a server that was given up may remain listed as ready before it
+	// leaveMargin is how long a server that was released may remain listed as ready before it
 	// counts as ordered again.
 	leaveMargin = 3 * time.Second
 	// reclaimPriorSeconds is the assumed time between reclaims before any has been observed.
@@ -80,7 +80,7 @@
 	}
 	p.reconcile(now)
 	if p.discovering(now) {
-		// While the list is incomplete, servers may be added but none are given up.
+		// While the list is incomplete, servers may be added but none are released.
 		targets := p.targets(now, false)
 		return p.scaleUp(targets, now), p.status(load, targets)
 	}
--- a/pkg/autoscale/planner_test.go
+++ b/pkg/autoscale/planner_test.go
@@ -207,7 +207,7 @@
 	s.run(10 * time.Second)
 	assert.Less(t, s.cloud.totalCost/10, 50.0, "cost per second, 92 at the start")
 	assert.Less(t, s.lateShare(), 0.01)
-	assert.GreaterOrEqual(t, s.minServing, 60, "replacements serve before others are given up")
+	assert.GreaterOrEqual(t, s.minServing, 60, "replacements serve before others are released")
 }
 
 func TestNoScaleDownBeforeLoadIsKnown(t *testing.T) {
@@ -298,7 +298,7 @@
 	}
 }
 
-// A planner that takes over continues from the ordered counts and makes no changes of its own.
+// A planner that takes over continues from the ordered counts and places few orders.
 func TestNewPlannerContinuesFromOrderedCounts(t *testing.T) {
 	s := newSimulation(t, defaultOffer(), defaultPolicy(), constantLoad(25))
 	s.run(60 * time.Second)
--- a/pkg/autoscale/scaledown.go
+++ b/pkg/autoscale/scaledown.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// scaleDownInterval and maxScaleDownShare bound the rate at which servers are given up once the
+	// scaleDownInterval and maxScaleDownShare bound the rate at which servers are released once the
 	// load is known.
 	scaleDownInterval = time.Second
 	maxScaleDownShare = 0.1
 	// spotRetention is how long surplus spot servers are kept: they are cheap, and their cached
 	// prefixes are lost with them.
 	spotRetention = 15 * time.Second
-	// maxSwapShare is the share of servers that may be given up without a surplus, to make room in
+	// maxSwapShare is the share of servers that may be released without a surplus, to make room in
 	// full halls for servers of the other kind.
 	maxSwapShare = 0.03
 )
 
-// scaleDownBudget is the number of servers that may be given up now: surplus ones, and ones that
+// scaleDownBudget is the number of servers that may be released now: surplus ones, and ones that
 // make room for the other kind.
 type scaleDownBudget struct{ surplus, swaps int }
 
@@ -35,7 +35,7 @@
 	return budget
 }
 
-// scaleDown gives up servers that are no longer wanted, the most expensive first, once their
+// scaleDown releases servers that are no longer wanted, the most expensive first, once their
 // replacements are ready.
 func (p *Planner) scaleDown(targets HallCounts, now time.Time) []Order {
 	if now.Sub(p.lastScaleDown) < scaleDownInterval {
@@ -57,7 +57,7 @@
 	return orders
 }
 
-// takeFromBudget returns how many servers of a kind to give up in a hall, and deducts them from the
+// takeFromBudget returns how many servers of a kind to release in a hall, and deducts them from the
 // budget.
 func (p *Planner) takeFromBudget(budget *scaleDownBudget, hall string, k Kind, targets HallCounts, now time.Time) int {
 	ordered, wanted := p.ordered[hall][k], targets[hall][k]
--- a/pkg/balancer/admission.go
+++ b/pkg/balancer/admission.go
@@ -12,7 +12,7 @@
 // add adds tokens of a rank; a negative number removes them.
 func (p *PendingPrefill) add(rank, tokens int) { p[rank] = max(0, p[rank]+tokens) }
 
-// plus returns the sum of w and o.
+// plus returns the sum of p and o.
 func (p PendingPrefill) plus(o PendingPrefill) PendingPrefill {
 	for rank := range p {
 		p[rank] += o[rank]
@@ -20,7 +20,7 @@
 	return p
 }
 
-// minus returns w without o. Counts do not go below zero, as o may be more recent than w.
+// minus returns p without o. Counts do not go below zero, as o may be more recent than p.
 func (p PendingPrefill) minus(o PendingPrefill) PendingPrefill {
 	for rank := range p {
 		p[rank] = max(0, p[rank]-o[rank])
--- a/pkg/claims/claims_test.go
+++ b/pkg/claims/claims_test.go
@@ -266,7 +266,7 @@
 	})
 }
 
-// Restoring arbitrary snapshot data must not panic or create entries out of nothing.
+// Restoring arbitrary snapshot data must not panic or create more entries than the data has bytes.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(`{"op":"claim","key":"000102030405060708090a0b0c0d0e0f","attempt":"a"}`))
 	f.Add([]byte(`{"op":"done","key":"00","attempt":""}`))
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -95,7 +95,7 @@
 	return time.Duration(s.suspended.Load())
 }
 
-// Now returns the elapsed time. Just after a suspension it may lag by it for some milliseconds.
+// Now returns the elapsed time. Up to sampleMaxAge after a resume, it may lack the suspension.
 func Now() time.Time { return time.Now().Add(machine.cached()) }
 
 // NowExact returns the elapsed time with an up-to-date suspended time, for decisions that must be
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -205,7 +205,7 @@
 	s.staleLogErr = nil
 	if objlog.IsStaleLog(err) {
 		s.staleLogErr = err
-		level.Error(s.logger).Log("msg", "the platform shows an older configuration; it is not applied", "err", err)
+		level.Error(s.logger).Log("msg", "platform returned an older configuration; not applied", "err", err)
 	}
 }
 
@@ -286,7 +286,7 @@
 	err := s.log.Append(ctx, base+1, []objlog.Record{rec})
 	switch {
 	case err == nil:
-		s.foldInBackground()
+		s.compactInBackground()
 		return base + 1, nil
 	case objlog.IsAppendConflict(err):
 		return s.findConfirmed(id, base)
@@ -309,8 +309,8 @@
 	return 0, &ConflictError{Base: base, Current: s.Current().Generation}
 }
 
-// foldInBackground starts folding the log into a snapshot if it has grown long.
-func (s *Store) foldInBackground() {
+// compactInBackground starts compacting the log into a snapshot if it has grown long.
+func (s *Store) compactInBackground() {
 	if !s.log.CanCompact() {
 		return
 	}
@@ -319,7 +319,7 @@
 		defer cancel()
 		err := s.log.Compact(ctx, s.snapshotAt)
 		if err != nil {
-			level.Warn(s.logger).Log("msg", "folding the configuration log failed; retrying after a later confirmation", "err", err)
+			level.Warn(s.logger).Log("msg", "failed to compact configuration log; retrying after a later confirmation", "err", err)
 		}
 	}()
 }
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), g)
 	_, err = b.Confirm(t.Context(), "plan-b", 0, acceptedClass("b"))
-	var raced *ConflictError
-	require.ErrorAs(t, err, &raced)
+	var conflict *ConflictError
+	require.ErrorAs(t, err, &conflict)
 	require.NoError(t, a.Refresh(t.Context()))
 	_, exists := a.Current().Class("b")
 	require.False(t, exists, "the conflicting plan was applied")
@@ -134,7 +134,7 @@
 	require.Equal(t, from.Current().Classes(), to.Current().Classes())
 }
 
-func TestLongLogIsFolded(t *testing.T) {
+func TestLongLogIsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		s := newTestStore(p)
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -29,7 +29,7 @@
 	reject func(call int) bool
 	// staleLag is the number of events by which stale pages lag behind.
 	staleLag int
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history has been compacted.
 	compacted   uint64
 	evacuations Evacuations
 }
--- a/pkg/directory/evacuations_test.go
+++ b/pkg/directory/evacuations_test.go
@@ -25,7 +25,7 @@
 	return halls
 }
 
-// withHalls returns a directory with two servers in each of three halls.
+// directoryWithHalls returns a directory with two servers in each of three halls.
 func directoryWithHalls(now time.Time) *Directory {
 	d := New(log.NewNopLogger())
 	var list []routing.Server
@@ -68,7 +68,7 @@
 	assert.Zero(t, d.View().WarmUpEnd(&unaffected, warmUp))
 }
 
-// Whatever the order of evacuations, server changes and full lists, no candidate may stand in a hall
+// Whatever the order of evacuations, server changes and full lists, no candidate may be in a hall
 // that is evacuated at the highest revision.
 func TestEvacuationsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/pkg/directory/follow.go
+++ b/pkg/directory/follow.go
@@ -119,7 +119,7 @@
 // query makes one request to the providers or to the source.
 func (f *follower) query(ctx context.Context, t Timing, p part, reader func() bool) error {
 	target := f.target()
-	if f.shouldAskProviders(target, reader) && f.queryProviders(ctx, p, target) {
+	if f.shouldQueryProviders(target, reader) && f.queryProviders(ctx, p, target) {
 		return nil
 	}
 	var err error
--- a/pkg/directory/follow_test.go
+++ b/pkg/directory/follow_test.go
@@ -82,7 +82,7 @@
 	assert.Less(t, mean, 600*time.Millisecond)
 }
 
-// A slow source must not be abandoned.
+// A box must load from a slow source instead of timing out and retrying.
 func TestSlowSourceIsRead(t *testing.T) {
 	assert.Less(t, timeToLoad(t, time.Second, 500*time.Millisecond), 5*time.Second)
 }
--- a/pkg/directory/follower.go
+++ b/pkg/directory/follower.go
@@ -51,7 +51,7 @@
 	revision, changed uint64
 }
 
-// unreached clears what a revision has reached.
+// unreached returns the target without the revisions up to the given one.
 func (t target) unreached(revision uint64) target {
 	if t.revision <= revision {
 		t.revision = 0
@@ -62,7 +62,7 @@
 	return t
 }
 
-// unrequested clears what was requested.
+// unrequested returns the target without the revisions of a request that was answered.
 func (t target) unrequested(requested target) target {
 	if t.revision == requested.revision {
 		t.revision = 0
--- a/pkg/directory/providers.go
+++ b/pkg/directory/providers.go
@@ -14,7 +14,7 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// ErrNoProvider is returned if there is no other box to ask.
+// ErrNoProvider is returned if there is no other box to query.
 var ErrNoProvider = errors.New("no other box can serve a copy: querying the source")
 
 // ErrBehind is returned by a box that has not reached the requested revision.
@@ -43,9 +43,9 @@
 	Servers(ctx context.Context, since, minRevision uint64) (ListCopy, error)
 }
 
-// shouldAskProviders reports whether to query other boxes before the source: a box that is no
+// shouldQueryProviders reports whether to query other boxes before the source: a box that is no
 // reader does so while the part is not loaded, and when it is known to have changed.
-func (f *follower) shouldAskProviders(requested target, reader func() bool) bool {
+func (f *follower) shouldQueryProviders(requested target, reader func() bool) bool {
 	return (requested.changed > 0 || !f.loaded()) && !reader()
 }
 
--- a/pkg/directory/random_faults_test.go
+++ b/pkg/directory/random_faults_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// extraPauseMS returns how long the fleet stays in its state beyond two seconds, derived from the
-// seed.
+// extraPauseMS returns how many milliseconds, in addition to two seconds, pass between splitting and
+// rejoining the fleet. It is derived from the seed.
 func (sim *simulation) extraPauseMS(seed uint64) int { return int(seed*977) % 5000 }
 
 // Under random changes, message loss, rejections, partitions and restarts, a connected box must stay
--- a/pkg/directory/simulation_test.go
+++ b/pkg/directory/simulation_test.go
@@ -257,7 +257,7 @@
 
 // Table implements Providers.
 func (b *simulatedBox) Table(ctx context.Context, _ *routing.Table, minRevision uint64) (TableCopy, error) {
-	return askProviders(ctx, b, func(ctx context.Context, p *simulatedBox, d *Directory) (TableCopy, error) {
+	return queryInTurn(ctx, b, func(ctx context.Context, p *simulatedBox, d *Directory) (TableCopy, error) {
 		c, err := d.TableCopy(ctx, minRevision)
 		if err != nil {
 			return c, err
@@ -273,7 +273,7 @@
 
 // Servers implements Providers.
 func (b *simulatedBox) Servers(ctx context.Context, since, minRevision uint64) (ListCopy, error) {
-	return askProviders(ctx, b, func(ctx context.Context, _ *simulatedBox, d *Directory) (ListCopy, error) {
+	return queryInTurn(ctx, b, func(ctx context.Context, _ *simulatedBox, d *Directory) (ListCopy, error) {
 		if _, err := d.ListMetadata(ctx, minRevision); err != nil {
 			return ListCopy{}, err
 		}
@@ -288,8 +288,8 @@
 	firstProviderShare = 2.0 / 3
 )
 
-// askProviders queries the providers in turn. An unreachable provider times out.
-func askProviders[T any](ctx context.Context, b *simulatedBox, ask func(context.Context, *simulatedBox, *Directory) (T, error)) (T, error) {
+// queryInTurn queries the providers in turn. An unreachable provider times out.
+func queryInTurn[T any](ctx context.Context, b *simulatedBox, query func(context.Context, *simulatedBox, *Directory) (T, error)) (T, error) {
 	var got T
 	err := ErrNoProvider
 	end := time.Now().Add(providersWait)
@@ -306,7 +306,7 @@
 			err = callCtx.Err()
 			continue
 		}
-		got, err = ask(callCtx, p, p.currentDirectory())
+		got, err = query(callCtx, p, p.currentDirectory())
 		cancel()
 		if err == nil {
 			return got, nil
--- a/pkg/directory/stalled_watch_test.go
+++ b/pkg/directory/stalled_watch_test.go
@@ -40,7 +40,7 @@
 			sim.store.change(tableOf(version, "first"))
 		}
 		startedAt := time.Now()
-		// Like a check of routerd, this names only the revision.
+		// Like a check of routerd, this passes only the revision.
 		for d.View().Table.Version < 5 && time.Since(startedAt) < 10*time.Second {
 			d.Verify(ctx, sim.store.newest().revision, time.Now(), simulationTiming)
 		}
--- a/pkg/duties/duties.go
+++ b/pkg/duties/duties.go
@@ -139,16 +139,16 @@
 func (r *Runner) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	if r.Reporter != nil {
-		wg.Go(func() { r.every(ctx, r.Reporter.step) })
+		wg.Go(func() { r.runPeriodically(ctx, r.Reporter.step) })
 	}
 	if r.Scaler != nil {
-		wg.Go(func() { r.every(ctx, r.Scaler.step) })
+		wg.Go(func() { r.runPeriodically(ctx, r.Scaler.step) })
 	}
 	wg.Wait()
 }
 
-// every calls step periodically while the lease is held.
-func (r *Runner) every(ctx context.Context, step func(context.Context)) {
+// runPeriodically calls step periodically while the lease is held.
+func (r *Runner) runPeriodically(ctx context.Context, step func(context.Context)) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
--- a/pkg/fleetlimit/limiter.go
+++ b/pkg/fleetlimit/limiter.go
@@ -28,7 +28,7 @@
 	mu    sync.Mutex
 	boxes []string
 	ring  *ring
-	// boxesKnownSince is when the members were first set; zero if they are not known yet.
+	// boxesKnownSince is when SetBoxes was first called; zero if it has not been.
 	boxesKnownSince time.Time
 	servers         map[routing.Incarnation]*allowance
 	addedSinceSweep int
@@ -133,7 +133,7 @@
 	return bucket
 }
 
-// update recomputes an allowance for a limit and the current members. The caller holds mu.
+// update recomputes an allowance for a limit and the current boxes. The caller holds mu.
 func (l *Limiter) update(a *allowance, server routing.Incarnation, limit Limit, now time.Time) {
 	wasSender := a.isSender
 	a.ring, a.limit, a.isSender = l.ring, limit, l.ring.selects(l.box, server.Hash(), limit.MaxSenders)
--- a/pkg/fleetlimit/limiter_test.go
+++ b/pkg/fleetlimit/limiter_test.go
@@ -69,13 +69,13 @@
 		newBox.start(now.Add(-warmUpSettleTime))
 		boxes = append(boxes, newBox)
 
-		kill := rapid.Float64Range(0, 0.02).Draw(t, "kills") / float64(n)
+		restartProbability := rapid.Float64Range(0, 0.02).Draw(t, "restarts") / float64(n)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		var sent []time.Time
 		for range int(1.2 * float64(warmUpSettleTime) / float64(sendInterval)) {
 			now = now.Add(sendInterval)
 			for _, b := range boxes {
-				if rng.Float64() < kill {
+				if rng.Float64() < restartProbability {
 					b.start(now)
 				}
 				if b.limiter.Allows(server, WarmUpLimit(w), now) {
--- a/pkg/fleetlimit/signalled_test.go
+++ b/pkg/fleetlimit/signalled_test.go
@@ -14,14 +14,14 @@
 )
 
 // sendEagerly lets boxes send as many requests to a server as their limiters allow, each box seeing the
-// limit with its own lag. Boxes restart with probability kill per step. It returns the send times.
-func sendEagerly(boxes []*box, server routing.Incarnation, limit func(at time.Duration) Limit, lag []time.Duration, length time.Duration, kill float64, rng *rand.Rand) []time.Time {
+// limit with its own lag. Boxes restart with the given probability per step. It returns the send times.
+func sendEagerly(boxes []*box, server routing.Incarnation, limit func(at time.Duration) Limit, lag []time.Duration, length time.Duration, restartProbability float64, rng *rand.Rand) []time.Time {
 	start := time.Now()
 	var sent []time.Time
 	for at := time.Duration(0); at < length; at += sendInterval {
 		now := start.Add(at)
 		for i, b := range boxes {
-			if rng.Float64() < kill {
+			if rng.Float64() < restartProbability {
 				b.start(now)
 			}
 			l := limit(max(0, at-lag[i]))
--- a/pkg/forms/forms.go
+++ b/pkg/forms/forms.go
@@ -3,7 +3,7 @@
 //
 // A build ignores unknown fields and forwards the rest, so data relayed by an older build may
 // silently lack fields that a newer one acts on. Each message that carries such data therefore
-// names the level of its sender. If that is lower than the receiver's, the message only signals
+// carries the level of its sender. If that is lower than the receiver's, the message only signals
 // that something has changed, and the content is fetched from a box of the receiver's level or from
 // the store. Messages of a higher level are decoded as far as they are known: fields are only added
 // and never change their meaning.
@@ -11,7 +11,7 @@
 
 // Levels of the wire formats, with what each adds.
 const (
-	// LevelFirst is the level of builds that send none.
+	// LevelFirst is the level of builds that send no level.
 	LevelFirst = 1
 	// LevelEvacuations adds evacuated halls, the warm-up of services and servers, and the regions
 	// of routes and organisations.
@@ -21,7 +21,7 @@
 // Level is the level of this build. It is raised with each field that boxes act on and forward.
 const Level = LevelEvacuations
 
-// EffectiveLevel returns the level of a message's sender, where zero stands for none sent.
+// EffectiveLevel returns the level of a message's sender. Zero means that the message carries none.
 func EffectiveLevel(level int) int { return max(LevelFirst, level) }
 
 // Complete reports whether data relayed by a sender of a level holds all that this build acts on.
