--- a/pkg/objlog/log.go
+++ b/pkg/objlog/log.go
@@ -11,56 +11,56 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// DefaultSegmentBytes is the size at which a segment is sealed. Whoever watches
-// the log reads the open segment at every change, so it is kept small.
+// DefaultSegmentBytes is the size at which a segment is sealed. Watchers read the
+// whole open segment at every change, so it is kept small.
 const DefaultSegmentBytes = 16 << 10
 
-// StateMachine takes a log's content in, in order. Its methods are called with the
-// log's lock held: they must not call the log.
+// StateMachine receives a log's content in order. Its methods are called with the
+// log's lock held and must not call the log.
 type StateMachine interface {
-	// Restore replaces the state by a snapshot taken after record index.
+	// Restore replaces the state with a snapshot taken after record index.
 	Restore(index uint64, parts [][]byte) error
-	// Apply takes the record with the given index in.
+	// Apply applies the record with the given index.
 	Apply(index uint64, r Record) error
 }
 
-// Log is a log on the object API. It is safe for concurrent use.
+// Log is an ordered log on the object API. It is safe for concurrent use.
 type Log struct {
-	objects objectstore.Objects
-	prefix  string
-	limit   int
-	reader  StateMachine
+	objects         objectstore.Objects
+	prefix          string
+	maxSegmentBytes int
+	stateMachine    StateMachine
 
 	mu sync.Mutex
-	// open is the head as last seen, version its version; 0 while it does not
-	// exist yet.
-	open    segment
+	// head is the open segment as last read, version the version of its object, or 0
+	// while the object does not exist.
+	head    segment
 	version objectstore.Version
-	// oldest is the lowest number of an archive that may still exist.
-	oldest  int
-	folding bool
+	// oldestArchive is the lowest number of an archived segment that may still exist.
+	oldestArchive int
+	compacting    bool
 }
 
-// New returns a log under the key prefix. Its content is read by Refresh.
-func New(objects objectstore.Objects, prefix string, reader StateMachine) *Log {
+// New returns a log under the key prefix. Call Refresh to read its content.
+func New(objects objectstore.Objects, prefix string, sm StateMachine) *Log {
 	return &Log{
-		objects: objects,
-		prefix:  prefix,
-		limit:   DefaultSegmentBytes,
-		reader:  reader,
-		open:    segment{Number: 1, First: 1},
-		oldest:  1,
+		objects:         objects,
+		prefix:          prefix,
+		maxSegmentBytes: DefaultSegmentBytes,
+		stateMachine:    sm,
+		head:            segment{Number: 1, First: 1},
+		oldestArchive:   1,
 	}
 }
 
-// NextIndex returns the index of the next record, as last seen.
+// NextIndex returns the index of the next record, as of the last read.
 func (l *Log) NextIndex() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open.next()
+	return l.head.nextIndex()
 }
 
-// Refresh reads what is new.
+// Refresh reads and applies new records.
 func (l *Log) Refresh(ctx context.Context) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,16 +70,16 @@
 func (l *Log) refresh(ctx context.Context) error {
 	o, err := l.objects.Get(ctx, l.headKey())
 	if objectstore.IsNotFound(err) {
-		return l.checkAhead(&segment{Number: 1, First: 1})
+		return l.checkNotStale(&segment{Number: 1, First: 1})
 	}
 	if err != nil {
 		return err
 	}
-	return l.take(ctx, o)
+	return l.applyHead(ctx, o)
 }
 
-// take brings the log up to a state of its head.
-func (l *Log) take(ctx context.Context, o objectstore.Object) error {
+// applyHead brings the log up to date with the given head object.
+func (l *Log) applyHead(ctx context.Context, o objectstore.Object) error {
 	if o.Version == l.version {
 		return nil
 	}
@@ -87,33 +87,33 @@
 	if err != nil {
 		return err
 	}
-	if err := l.checkAhead(&head); err != nil {
+	if err := l.checkNotStale(&head); err != nil {
 		return err
 	}
-	if err := l.catchUp(ctx, head.Number); err != nil {
+	if err := l.replayArchives(ctx, head.Number); err != nil {
 		return err
 	}
-	return l.adopt(head, o.Version)
+	return l.applySegment(head, o.Version)
 }
 
-// checkAhead fails if shown is older than what was read before.
-func (l *Log) checkAhead(shown *segment) error {
-	if shown.Number < l.open.Number || shown.next() < l.open.next() {
-		return &StaleLogError{Log: l.prefix, Seen: l.open.next() - 1, Shown: shown.next() - 1}
+// checkNotStale returns a StaleLogError if shown is older than what was read before.
+func (l *Log) checkNotStale(shown *segment) error {
+	if shown.Number < l.head.Number || shown.nextIndex() < l.head.nextIndex() {
+		return &StaleLogError{Log: l.prefix, Seen: l.head.nextIndex() - 1, Shown: shown.nextIndex() - 1}
 	}
 	return nil
 }
 
-// catchUp reads archives until segment number is the next one to read.
-func (l *Log) catchUp(ctx context.Context, number int) error {
+// replayArchives applies archived segments until segment number is the next to read.
+func (l *Log) replayArchives(ctx context.Context, number int) error {
 	restored := false
-	for l.open.Number < number {
-		key := l.segmentKey(l.open.Number)
+	for l.head.Number < number {
+		key := l.segmentKey(l.head.Number)
 		o, err := l.objects.Get(ctx, key)
 		if objectstore.IsNotFound(err) && !restored {
-			// Folded into a snapshot.
+			// The segment was compacted into a snapshot.
 			restored = true
-			if err := l.restoreNewest(ctx); err != nil {
+			if err := l.restoreLatestSnapshot(ctx); err != nil {
 				return err
 			}
 			continue
@@ -125,109 +125,109 @@
 		if err != nil {
 			return err
 		}
-		if err := l.adopt(s, l.version); err != nil {
+		if err := l.applySegment(s, l.version); err != nil {
 			return err
 		}
-		l.open = segment{Number: s.Number + 1, First: s.next()}
+		l.head = segment{Number: s.Number + 1, First: s.nextIndex()}
 	}
 	return nil
 }
 
-// adopt applies what is new in a newer state of the open segment, or of the one
-// right after it.
-func (l *Log) adopt(s segment, v objectstore.Version) error {
-	known := 0
-	if s.Number == l.open.Number {
-		known = len(l.open.Records)
+// applySegment applies the records that are new in s, which is a newer state of the
+// open segment or the segment that follows it.
+func (l *Log) applySegment(s segment, v objectstore.Version) error {
+	applied := 0
+	if s.Number == l.head.Number {
+		applied = len(l.head.Records)
 	}
-	for i := known; i < len(s.Records); i++ {
-		if err := l.reader.Apply(s.First+uint64(i), s.Records[i]); err != nil {
+	for i := applied; i < len(s.Records); i++ {
+		if err := l.stateMachine.Apply(s.First+uint64(i), s.Records[i]); err != nil {
 			return err
 		}
 	}
-	l.open, l.version = s, v
+	l.head, l.version = s, v
 	return nil
 }
 
-// Append adds records at index expect, all or none. AppendConflictError says that the log
-// is further on; the log has then been refreshed. An UnknownOutcomeError is returned
-// only when ctx ended before the platform gave a definite answer.
+// Append adds records at index expect, atomically. It returns an AppendConflictError
+// if the log has grown past expect; the log has then been refreshed. It returns an
+// UnknownOutcomeError only if ctx ended before the platform returned a definite result.
 func (l *Log) Append(ctx context.Context, expect uint64, records []Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if next := l.open.next(); next != expect {
+	if next := l.head.nextIndex(); next != expect {
 		return &AppendConflictError{Log: l.prefix, NextIndex: next}
 	}
 	if err := l.archive(ctx); err != nil {
 		return err
 	}
-	s := l.open.with(records)
+	s := l.head.withRecords(records)
 	value, err := l.encode(&s)
 	if err != nil {
 		return err
 	}
 	v, err := l.writeUntilDefinite(ctx, value)
 	if objectstore.IsConflict(err) {
-		return l.settle(ctx, s.Number, expect, records)
+		return l.resolveConflict(ctx, s.Number, expect, records)
 	}
 	if err != nil {
 		return err
 	}
-	return l.adopt(s, v)
+	return l.applySegment(s, v)
 }
 
-// archive stores a sealed head before the head moves on. Whoever does it stores
-// the same, so a lost answer or a conflict is no matter.
+// archive stores a sealed head as an archive object before the head moves to the next
+// segment. All writers store the same content, so conflicts can be ignored.
 func (l *Log) archive(ctx context.Context) error {
-	if !l.open.Sealed {
+	if !l.head.Sealed {
 		return nil
 	}
-	value, err := json.Marshal(l.open)
+	value, err := json.Marshal(l.head)
 	if err != nil {
 		return err
 	}
-	_, err = l.objects.Create(ctx, l.segmentKey(l.open.Number), value)
+	_, err = l.objects.Create(ctx, l.segmentKey(l.head.Number), value)
 	switch {
 	case err == nil, objectstore.IsConflict(err):
 		return nil
 	case objectstore.IsUnknownOutcome(err):
-		// Nothing of the append itself was sent.
+		// The append itself has not been sent.
 		return &objectstore.UnavailableError{Op: "archive", Cause: err}
 	}
 	return err
 }
 
-// encode seals the segment if it is full.
+// encode marshals the segment, sealing it if it is full.
 func (l *Log) encode(s *segment) ([]byte, error) {
 	value, err := json.Marshal(s)
-	if err != nil || len(value) < l.limit {
+	if err != nil || len(value) < l.maxSegmentBytes {
 		return value, err
 	}
 	s.Sealed = true
 	return json.Marshal(s)
 }
 
-// settle looks whether a conflict was our own earlier write. It was if all records stand
-// where it would have put them: some of them may have been written by others, who act
-// for the same attempts.
-func (l *Log) settle(ctx context.Context, number int, expect uint64, records []Record) error {
-	if err := l.refreshPast(ctx, l.version); err != nil {
+// resolveConflict checks whether a conflict was caused by an earlier attempt of the same
+// append. It was if all records are at the expected indices: other writers acting for
+// the same attempts may have written some of them.
+func (l *Log) resolveConflict(ctx context.Context, number int, expect uint64, records []Record) error {
+	if err := l.refreshUntilChanged(ctx, l.version); err != nil {
 		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
-	found, err := l.find(ctx, number, expect, records)
+	found, err := l.findRecords(ctx, number, expect, records)
 	if err != nil {
 		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
 	if found {
 		return nil
 	}
-	return &AppendConflictError{Log: l.prefix, NextIndex: l.open.next()}
+	return &AppendConflictError{Log: l.prefix, NextIndex: l.head.nextIndex()}
 }
 
-// refreshPast refreshes until the head has another version than the one a write
-// conflicted on: a stale read shows that very version and settles nothing.
-func (l *Log) refreshPast(ctx context.Context, stale objectstore.Version) error {
-	pause := newPause()
+// refreshUntilChanged refreshes until the version of the head differs from stale, the
+// version a write conflicted on: a stale read returns that version again.
+func (l *Log) refreshUntilChanged(ctx context.Context, stale objectstore.Version) error {
+	retry := newRetryBackoff()
 	for {
 		if err := l.refresh(ctx); err != nil {
 			return err
@@ -238,22 +238,22 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-func newPause() *backoff.ExponentialBackOff {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = retryFirst
-	pause.MaxInterval = retryMost
-	return pause
+func newRetryBackoff() *backoff.ExponentialBackOff {
+	b := backoff.NewExponentialBackOff()
+	b.InitialInterval = minRetryDelay
+	b.MaxInterval = maxRetryDelay
+	return b
 }
 
-// find tells whether records stand in segment number from an index on.
-func (l *Log) find(ctx context.Context, number int, index uint64, records []Record) (bool, error) {
-	if l.open.Number == number {
-		return l.open.holdsAt(index, records), nil
+// findRecords reports whether segment number contains records from index on.
+func (l *Log) findRecords(ctx context.Context, number int, index uint64, records []Record) (bool, error) {
+	if l.head.Number == number {
+		return l.head.hasRecordsAt(index, records), nil
 	}
 	key := l.segmentKey(number)
 	o, err := l.objects.Get(ctx, key)
@@ -264,29 +264,28 @@
 	if err != nil {
 		return false, err
 	}
-	return s.holdsAt(index, records), nil
+	return s.hasRecordsAt(index, records), nil
 }
 
 const (
-	retryFirst = 20 * time.Millisecond
-	retryMost  = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// writeUntilDefinite writes the open segment. Once an answer was lost, the same
-// conditional write is repeated: whichever of them takes effect, the others
-// conflict, so that no late one can surprise us.
+// writeUntilDefinite writes the open segment. After a lost response it retries the same
+// conditional write: only one attempt can take effect, and late ones conflict.
 func (l *Log) writeUntilDefinite(ctx context.Context, value []byte) (objectstore.Version, error) {
-	pause := newPause()
+	retry := newRetryBackoff()
 	v, err := l.write(ctx, value)
 	if !objectstore.IsUnknownOutcome(err) {
 		return v, err
 	}
-	lost := err
+	firstErr := err
 	for {
 		select {
 		case <-ctx.Done():
-			return 0, lost
-		case <-time.After(pause.NextBackOff()):
+			return 0, firstErr
+		case <-time.After(retry.NextBackOff()):
 		}
 		v, err = l.write(ctx, value)
 		if err == nil || objectstore.IsConflict(err) {
@@ -302,8 +301,8 @@
 	return l.objects.Update(ctx, l.headKey(), value, l.version)
 }
 
-// WaitForChange waits until the log has grown since it was last read, and reads what is
-// new: one call of the platform, as the answer to a watch is the head itself.
+// WaitForChange waits until the log has grown since the last read and applies the new
+// records. It takes one platform call, as the response to a watch is the head itself.
 func (l *Log) WaitForChange(ctx context.Context) error {
 	l.mu.Lock()
 	after := l.version
@@ -314,5 +313,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.take(ctx, o)
+	return l.applyHead(ctx, o)
 }
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -19,14 +19,14 @@
 	standin "headhill.example/headhill/pkg/standin/objectstore"
 )
 
-// memory is a reader that remembers everything it was given.
-type memory struct {
-	from uint64 // records up to here came in a snapshot
-	ids  []string
+// recorder is a state machine that records the IDs of all applied records.
+type recorder struct {
+	snapshotIndex uint64
+	ids           []string
 }
 
-func (m *memory) Restore(index uint64, parts [][]byte) error {
-	m.from, m.ids = index, nil
+func (m *recorder) Restore(index uint64, parts [][]byte) error {
+	m.snapshotIndex, m.ids = index, nil
 	for _, p := range parts {
 		var ids []string
 		if err := json.Unmarshal(p, &ids); err != nil {
@@ -37,42 +37,42 @@
 	return nil
 }
 
-func (m *memory) Apply(index uint64, r Record) error {
+func (m *recorder) Apply(index uint64, r Record) error {
 	if index != uint64(len(m.ids))+1 {
-		return fmt.Errorf("record %d after %d", index, len(m.ids))
+		return fmt.Errorf("applied record %d after %d records", index, len(m.ids))
 	}
 	m.ids = append(m.ids, r.ID)
 	return nil
 }
 
-func (m *memory) state(uint64) ([][]byte, bool) {
+func (m *recorder) state(uint64) ([][]byte, bool) {
 	b, _ := json.Marshal(m.ids)
 	return [][]byte{b}, true
 }
 
-// client is one box's log.
-type client struct {
+// testLog is the log of one box.
+type testLog struct {
 	*Log
-	memory *memory
+	recorder *recorder
 }
 
-func newClient(objects objectstore.Objects) *client {
-	m := &memory{}
+func newClient(objects objectstore.Objects) *testLog {
+	m := &recorder{}
 	l := New(objects, "p/log", m)
-	l.limit = 400 // a few records a segment
-	return &client{Log: l, memory: m}
+	l.maxSegmentBytes = 400 // a few records per segment
+	return &testLog{Log: l, recorder: m}
 }
 
-func rec(id string) Record { return Record{ID: id, Data: json.RawMessage(`{"v":1}`)} }
+func newRecord(id string) Record { return Record{ID: id, Data: json.RawMessage(`{"v":1}`)} }
 
-// op is one step of a history: what box log does.
+// op is one step of a history, applied to one box's log.
 type op struct {
 	Kind   string
 	Log    int
 	Faults standin.Faults
 }
 
-func genOp() *rapid.Generator[op] {
+func drawOp() *rapid.Generator[op] {
 	return rapid.Custom(func(t *rapid.T) op {
 		return op{
 			Kind: rapid.SampledFrom([]string{"append", "append", "append", "refresh", "restart", "fold", "faults", "heal"}).Draw(t, "kind"),
@@ -86,25 +86,25 @@
 	})
 }
 
-// run is a history under way.
-type run struct {
-	platform *standin.Server
-	logs     []*client
-	said     map[string]uint64 // appended, at which index
-	refused  map[string]bool
-	n        int
+// history is the state of a random history.
+type history struct {
+	platform     *standin.Server
+	logs         []*testLog
+	acknowledged map[string]uint64 // index by record ID
+	rejected     map[string]bool
+	appends      int
 }
 
-func newRun() *run {
-	r := &run{platform: standin.New(), said: map[string]uint64{}, refused: map[string]bool{}}
+func newHistory() *history {
+	r := &history{platform: standin.New(), acknowledged: map[string]uint64{}, rejected: map[string]bool{}}
 	for range 3 {
 		r.logs = append(r.logs, newClient(r.platform.Client()))
 	}
 	return r
 }
 
-func (r *run) do(o op) {
-	// The bound of a home's or a confirmation's patience, in virtual time.
+func (r *history) do(o op) {
+	// Bounds the operation as its callers do, in virtual time.
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	l := r.logs[o.Log]
@@ -116,7 +116,7 @@
 	case "restart":
 		r.logs[o.Log] = newClient(r.platform.Client())
 	case "fold":
-		_ = l.Compact(ctx, l.memory.state)
+		_ = l.Compact(ctx, l.recorder.state)
 	case "faults":
 		r.platform.SetFaults(o.Faults)
 	case "heal":
@@ -124,25 +124,26 @@
 	}
 }
 
-func (r *run) append(ctx context.Context, l *client) {
-	r.n++
-	id, at := fmt.Sprint("r", r.n), l.NextIndex()
-	err := l.Append(ctx, at, []Record{rec(id)})
+func (r *history) append(ctx context.Context, l *testLog) {
+	r.appends++
+	id, at := fmt.Sprint("r", r.appends), l.NextIndex()
+	err := l.Append(ctx, at, []Record{newRecord(id)})
 	switch {
 	case err == nil:
-		r.said[id] = at
+		r.acknowledged[id] = at
 	case !objectstore.IsUnknownOutcome(err):
-		r.refused[id] = true
+		r.rejected[id] = true
 	}
 }
 
-// TestAppendsAreExact drives several boxes' logs through random appends, lost
-// answers, stale reads, outages and folds. An append that succeeded stands once,
-// at its index; one that was refused stands nowhere; all boxes read the same.
+// TestAppendsAreExact drives the logs of several boxes through random appends, lost
+// responses, stale reads, outages and compactions. A successful append must be present
+// exactly once at its index, a rejected one must be absent, and all boxes must read
+// the same records.
 func TestAppendsAreExact(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		ops := rapid.SliceOfN(genOp(), 1, 80).Draw(rt, "ops")
-		r := newRun()
+		ops := rapid.SliceOfN(drawOp(), 1, 80).Draw(rt, "ops")
+		r := newHistory()
 		var errs []error
 		fresh := newClient(r.platform.Client())
 		synctest.Test(t, func(*testing.T) {
@@ -156,108 +157,107 @@
 		})
 		for i, l := range r.logs {
 			require.NoError(rt, errs[i])
-			require.Equal(rt, fresh.memory.ids, l.memory.ids)
+			require.Equal(rt, fresh.recorder.ids, l.recorder.ids)
 		}
-		where := make(map[string]int)
-		for i, id := range fresh.memory.ids {
-			require.Zero(rt, where[id], "%s stands twice", id)
-			require.False(rt, r.refused[id], "%s was refused and stands", id)
-			where[id] = i + 1
+		indexes := make(map[string]int)
+		for i, id := range fresh.recorder.ids {
+			require.Zero(rt, indexes[id], "record %s was appended twice", id)
+			require.False(rt, r.rejected[id], "record %s was rejected but is in the log", id)
+			indexes[id] = i + 1
 		}
-		for id, at := range r.said {
-			require.Equal(rt, int(at), where[id], "%s", id)
+		for id, at := range r.acknowledged {
+			require.Equal(rt, int(at), indexes[id], "index of record %s", id)
 		}
 	})
 }
 
-// gate holds requests back, so that a writer is paused in mid-append.
-type gate struct {
+// interceptor delays or drops writes to simulate a suspended writer.
+type interceptor struct {
 	next http.RoundTripper
-	// hold, when set, is called before a write is passed on; late says that it is
-	// passed on although its writer was told that the connection broke.
-	hold func()
-	late bool
-	kept []*http.Request
+	// beforeWrite, if set, is called once before a write is forwarded. deliverLate makes the
+	// next write fail with a connection error and keeps it for late delivery.
+	beforeWrite func()
+	deliverLate bool
+	delayed     []*http.Request
 }
 
-func (g *gate) RoundTrip(r *http.Request) (*http.Response, error) {
-	if r.Method == http.MethodPut && g.hold != nil {
-		hold := g.hold
-		g.hold = nil
-		hold()
+func (g *interceptor) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.Method == http.MethodPut && g.beforeWrite != nil {
+		beforeWrite := g.beforeWrite
+		g.beforeWrite = nil
+		beforeWrite()
 	}
-	if r.Method == http.MethodPut && g.late {
-		g.late = false
+	if r.Method == http.MethodPut && g.deliverLate {
+		g.deliverLate = false
 		httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-		g.kept = append(g.kept, r.Clone(context.WithoutCancel(r.Context())))
+		g.delayed = append(g.delayed, r.Clone(context.WithoutCancel(r.Context())))
 		return nil, errors.New("connection broken")
 	}
 	return g.next.RoundTrip(r)
 }
 
-func gated(p *standin.Server) (*gate, *client) {
-	g := &gate{next: p.Transport()}
+func newIntercepted(p *standin.Server) (*interceptor, *testLog) {
+	g := &interceptor{next: p.Transport()}
 	return g, newClient(objectstore.NewClientWithTransport(g, "http://platform", "", callrate.DefaultBudget))
 }
 
 func TestPausedWriterLosesItsPlace(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
-	g, paused := gated(p)
+	g, suspended := newIntercepted(p)
 	other := newClient(p.Client())
-	require.NoError(t, paused.Refresh(ctx))
-	g.hold = func() {
+	require.NoError(t, suspended.Refresh(ctx))
+	g.beforeWrite = func() {
 		require.NoError(t, other.Refresh(ctx))
-		require.NoError(t, other.Append(ctx, 1, []Record{rec("other")}))
+		require.NoError(t, other.Append(ctx, 1, []Record{newRecord("other")}))
 	}
-	err := paused.Append(ctx, 1, []Record{rec("paused")})
+	err := suspended.Append(ctx, 1, []Record{newRecord("suspended")})
 	require.True(t, IsAppendConflict(err), "%v", err)
-	require.Equal(t, []string{"other"}, paused.memory.ids)
+	require.Equal(t, []string{"other"}, suspended.recorder.ids)
 }
 
-// A write that its writer gave up on may arrive after all, later than the repeated
-// one.
+// A write that is delivered after its retry succeeded must not take effect.
 func TestLateWriteTakesNoEffectTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		p := standin.New()
-		g, l := gated(p)
+		g, l := newIntercepted(p)
 		require.NoError(t, l.Refresh(ctx))
-		g.late = true
-		require.NoError(t, l.Append(ctx, 1, []Record{rec("a")}))
-		require.NoError(t, l.Append(ctx, 2, []Record{rec("b")}))
-		for _, r := range g.kept {
+		g.deliverLate = true
+		require.NoError(t, l.Append(ctx, 1, []Record{newRecord("a")}))
+		require.NoError(t, l.Append(ctx, 2, []Record{newRecord("b")}))
+		for _, r := range g.delayed {
 			resp, err := p.Transport().RoundTrip(r)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusPreconditionFailed, resp.StatusCode)
 		}
 		fresh := newClient(p.Client())
 		require.NoError(t, fresh.Refresh(ctx))
-		require.Equal(t, []string{"a", "b"}, fresh.memory.ids)
+		require.Equal(t, []string{"a", "b"}, fresh.recorder.ids)
 	})
 }
 
-func TestLostAnswerWhileAnotherAppends(t *testing.T) {
+func TestLostResponseWithConcurrentAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		p := standin.New()
-		g, l := gated(p)
+		g, l := newIntercepted(p)
 		other := newClient(p.Client())
 		require.NoError(t, l.Refresh(ctx))
-		// The write takes effect, its answer is lost, and before it is repeated
-		// another box appends until the segment is archived.
+		// The write takes effect but its response is lost. Before the retry, another box appends
+		// until the segment is archived.
 		p.SetFaults(standin.Faults{LoseWrites: 1})
-		g.hold = func() {
-			g.hold = func() {
+		g.beforeWrite = func() {
+			g.beforeWrite = func() {
 				require.NoError(t, other.Refresh(ctx))
 				for i := range 20 {
-					require.NoError(t, other.Append(ctx, other.NextIndex(), []Record{rec(fmt.Sprint("other", i))}))
+					require.NoError(t, other.Append(ctx, other.NextIndex(), []Record{newRecord(fmt.Sprint("other", i))}))
 				}
 			}
 		}
-		require.NoError(t, l.Append(ctx, 1, []Record{rec("mine")}))
-		require.Equal(t, "mine", l.memory.ids[0])
-		require.Len(t, l.memory.ids, 21)
+		require.NoError(t, l.Append(ctx, 1, []Record{newRecord("mine")}))
+		require.Equal(t, "mine", l.recorder.ids[0])
+		require.Len(t, l.recorder.ids, 21)
 	})
 }
 
@@ -265,24 +265,24 @@
 	ctx := t.Context()
 	p := standin.New()
 	l := newClient(p.Client())
-	require.NoError(t, l.Append(ctx, 1, []Record{rec("a")}))
+	require.NoError(t, l.Append(ctx, 1, []Record{newRecord("a")}))
 	backup := p.Snapshot()
-	require.NoError(t, l.Append(ctx, 2, []Record{rec("b")}))
+	require.NoError(t, l.Append(ctx, 2, []Record{newRecord("b")}))
 	p.Restore(backup)
 	require.True(t, IsStaleLog(l.Refresh(ctx)))
-	err := l.Append(ctx, 3, []Record{rec("c")})
+	err := l.Append(ctx, 3, []Record{newRecord("c")})
 	require.True(t, IsStaleLog(err), "%v", err)
-	require.Equal(t, []string{"a", "b"}, l.memory.ids)
+	require.Equal(t, []string{"a", "b"}, l.recorder.ids)
 }
 
-func TestAppendGivesUpWithItsContext(t *testing.T) {
+func TestAppendOutcomeUnknownWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
 		l := newClient(p.Client())
 		p.SetFaults(standin.Faults{Down: true})
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		err := l.Append(ctx, 1, []Record{rec("a")})
+		err := l.Append(ctx, 1, []Record{newRecord("a")})
 		require.True(t, objectstore.IsUnknownOutcome(err), "%v", err)
 	})
 }
@@ -299,12 +299,12 @@
 			require.ErrorAs(t, err, &c)
 			return
 		}
-		require.GreaterOrEqual(t, s.next(), s.First)
+		require.GreaterOrEqual(t, s.nextIndex(), s.First)
 	})
 }
 
-// Two writers may append a record of the same ID, for the same attempt. That one of them
-// stands in the log says nothing of what the other wrote with it.
+// Two writers may append a record with the same ID for the same attempt. Finding it in the
+// log must not be taken as proof that the rest of the append was written.
 func TestRecordOfAnotherWriterIsNotTakenForOurs(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
@@ -316,5 +316,5 @@
 	require.NoError(t, first.Append(ctx, next, []Record{shared}))
 	err := second.Append(ctx, next, []Record{shared, alone})
 	require.True(t, IsAppendConflict(err), "%v", err)
-	require.Equal(t, []string{"shared"}, second.memory.ids)
+	require.Equal(t, []string{"shared"}, second.recorder.ids)
 }
--- a/pkg/objlog/snapshot.go
+++ b/pkg/objlog/snapshot.go
@@ -9,37 +9,37 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// MinSegmentsToCompact is the number of archived segments that make a snapshot worth while.
+// MinSegmentsToCompact is the number of archived segments from which the log is compacted.
 const MinSegmentsToCompact = 16
 
-// CanCompact tells whether enough archived segments stand before the head, and
-// nobody folds them already.
+// CanCompact reports whether enough archived segments precede the head and no
+// compaction is in progress.
 func (l *Log) CanCompact() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.folding && l.open.Number-l.oldest >= MinSegmentsToCompact
+	return !l.compacting && l.head.Number-l.oldestArchive >= MinSegmentsToCompact
 }
 
-// Compact stores the reader's state after the last record read as a snapshot, and
-// deletes the archives that it covers. State is called with the log's lock held;
-// it returns false when it can't give the state after that record. Folding what
-// somebody else folded already has no effect.
+// Compact stores the state after the last record read as a snapshot and deletes the
+// archived segments that it covers. The state callback is called with the log's lock
+// held and returns false if the state at that index is not available. Compacting at an
+// index that another box has already compacted has no effect.
 func (l *Log) Compact(ctx context.Context, state func(index uint64) (parts [][]byte, ok bool)) error {
 	l.mu.Lock()
-	index := l.open.next() - 1
+	index := l.head.nextIndex() - 1
 	parts, ok := state(index)
-	if !ok || l.folding {
+	if !ok || l.compacting {
 		l.mu.Unlock()
 		return nil
 	}
-	// One at a time: each append would begin another, and their writes would
-	// take the budget from the appends.
-	l.folding = true
-	defer l.endFolding()
+	// Only one compaction runs at a time: otherwise each append would start another, and
+	// their writes would use up the call budget for appends.
+	l.compacting = true
+	defer l.finishCompaction()
 	m := manifest{
 		Index:   index,
-		Segment: l.open.Number,
-		First:   l.open.First,
+		Segment: l.head.Number,
+		First:   l.head.First,
 		Parts:   len(parts),
 		Nonce:   rand.Uint64(),
 	}
@@ -47,13 +47,13 @@
 	if err := l.storeSnapshot(ctx, m, parts); err != nil {
 		return err
 	}
-	return l.dropFolded(ctx, m)
+	return l.deleteCompacted(ctx, m)
 }
 
-func (l *Log) endFolding() {
+func (l *Log) finishCompaction() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.folding = false
+	l.compacting = false
 }
 
 func (l *Log) storeSnapshot(ctx context.Context, m manifest, parts [][]byte) error {
@@ -66,8 +66,8 @@
 	if err != nil {
 		return err
 	}
-	// The manifest comes last: without it the parts count for nothing. If
-	// somebody else folded at the same record, theirs stands.
+	// The manifest is written last: parts without a manifest are ignored. If another box
+	// compacted at the same record, its snapshot is kept.
 	_, err = l.objects.Create(ctx, l.snapshotKey(m.Index), value)
 	if objectstore.IsConflict(err) {
 		return nil
@@ -75,16 +75,16 @@
 	return err
 }
 
-// dropFolded deletes what a snapshot covers: archives before its segment, older
-// snapshots and their parts. What fails is left for the next fold: a leftover
-// does no harm.
-func (l *Log) dropFolded(ctx context.Context, m manifest) error {
+// deleteCompacted deletes the objects that a snapshot supersedes: archived segments
+// before its segment, older snapshots and their parts. Objects that could not be
+// deleted are harmless and left to the next compaction.
+func (l *Log) deleteCompacted(ctx context.Context, m manifest) error {
 	entries, err := l.objects.List(ctx, l.prefix+"/")
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if !l.covered(e.Key, m) {
+		if !l.isCompacted(e.Key, m) {
 			continue
 		}
 		if err := l.objects.Delete(ctx, e.Key, e.Version); err != nil && !objectstore.IsNotFound(err) {
@@ -93,38 +93,38 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.oldest = max(l.oldest, m.Segment)
+	l.oldestArchive = max(l.oldestArchive, m.Segment)
 	return nil
 }
 
-func (l *Log) covered(key string, m manifest) bool {
-	if n := l.keyNumber(key, segmentDir); n >= 0 {
+func (l *Log) isCompacted(key string, m manifest) bool {
+	if n := l.parseKeyNumber(key, segmentPrefix); n >= 0 {
 		return n < int64(m.Segment)
 	}
-	if n := l.keyNumber(key, snapshotDir); n >= 0 {
+	if n := l.parseKeyNumber(key, snapshotPrefix); n >= 0 {
 		return uint64(n) < m.Index
 	}
-	n := l.keyNumber(strings.Split(key, partMark)[0], partDir)
+	n := l.parseKeyNumber(strings.Split(key, partSeparator)[0], partPrefix)
 	return n >= 0 && uint64(n) < m.Index
 }
 
-// restoreNewest loads the newest snapshot if it is ahead of what was read.
-func (l *Log) restoreNewest(ctx context.Context) error {
-	entries, err := l.objects.List(ctx, l.prefix+snapshotDir)
+// restoreLatestSnapshot loads the newest snapshot if it is ahead of the log read so far.
+func (l *Log) restoreLatestSnapshot(ctx context.Context) error {
+	entries, err := l.objects.List(ctx, l.prefix+snapshotPrefix)
 	if err != nil {
 		return err
 	}
 	newest := int64(-1)
 	for _, e := range entries {
-		newest = max(newest, l.keyNumber(e.Key, snapshotDir))
+		newest = max(newest, l.parseKeyNumber(e.Key, snapshotPrefix))
 	}
-	if newest < 0 || uint64(newest)+1 < l.open.next() {
-		return &StaleLogError{Log: l.prefix, Seen: l.open.next() - 1, Shown: uint64(max(newest, 0))}
+	if newest < 0 || uint64(newest)+1 < l.head.nextIndex() {
+		return &StaleLogError{Log: l.prefix, Seen: l.head.nextIndex() - 1, Shown: uint64(max(newest, 0))}
 	}
 	return l.restore(ctx, uint64(newest))
 }
 
-// restore loads the snapshot after record index.
+// restore loads the snapshot taken after record index.
 func (l *Log) restore(ctx context.Context, index uint64) error {
 	key := l.snapshotKey(index)
 	o, err := l.objects.Get(ctx, key)
@@ -143,10 +143,10 @@
 		}
 		parts = append(parts, p.Value)
 	}
-	if err := l.reader.Restore(m.Index, parts); err != nil {
+	if err := l.stateMachine.Restore(m.Index, parts); err != nil {
 		return err
 	}
-	l.oldest = m.Segment
-	l.open = segment{Number: m.Segment, First: m.First, Records: make([]Record, m.Index+1-m.First)}
+	l.oldestArchive = m.Segment
+	l.head = segment{Number: m.Segment, First: m.First, Records: make([]Record, m.Index+1-m.First)}
 	return nil
 }
