--- a/pkg/objectstore/client.go
+++ b/pkg/objectstore/client.go
@@ -20,14 +20,13 @@
 )
 
 const (
-	// callTimeout is how long the platform may take to begin an answer, and how long an
-	// answer may stand still.
+	// callTimeout limits the time to the first byte of a response and the time between reads.
 	callTimeout  = 3 * time.Second
 	watchTimeout = 25 * time.Second
-	// watchGrace is what a watch may take beyond the time it asked to wait.
+	// watchGrace is added to watchTimeout when waiting for the response to a watch.
 	watchGrace = 3 * time.Second
-	// answerMost ends an answer that would trickle for ever.
-	answerMost = 5 * time.Minute
+	// maxResponseTime limits the total duration of a response.
+	maxResponseTime = 5 * time.Minute
 )
 
 // Client speaks the platform's HTTP protocol.
@@ -38,15 +37,15 @@
 	limiter *callrate.Limiter
 }
 
-// NewClient returns a client for the platform at base, a URL. The token
-// authenticates the box; it may be empty.
+// NewClient returns a client for the platform at the base URL. The token authenticates
+// the box and may be empty.
 func NewClient(base, token string, budget callrate.Budget) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	return NewClientWithTransport(t, base, token, budget)
 }
 
-// NewClientWithTransport is NewClient over a transport of the caller's. The transport must
-// tell httptrace when it has a connection, and must not repeat requests.
+// NewClientWithTransport is like NewClient with the given transport. The transport must
+// call httptrace's GotConn hook and must not retry requests.
 func NewClientWithTransport(t http.RoundTripper, base, token string, budget callrate.Budget) *Client {
 	return &Client{
 		base:    strings.TrimSuffix(base, "/"),
@@ -56,16 +55,16 @@
 	}
 }
 
-// SetBudget changes the client's rates, as when the roster's size changes.
+// SetBudget changes the client's rate limits, for example when the number of boxes changes.
 func (c *Client) SetBudget(b callrate.Budget) { c.limiter.SetBudget(b) }
 
 // Calls returns the number of calls made so far.
 func (c *Client) Calls() callrate.Calls { return c.limiter.Calls() }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call is one exchange with the platform.
+// call describes one request to the platform.
 type call struct {
 	op     string
 	method string
@@ -73,45 +72,45 @@
 	header http.Header
 	body   []byte
 	write  bool
-	// timeout is how long the answer may take to begin.
+	// timeout limits the time to the first byte of the response.
 	timeout time.Duration
 }
 
-// answer is a complete answer of the platform.
-type answer struct {
+// response is a complete response from the platform.
+type response struct {
 	status  int
 	version Version
 	body    []byte
 }
 
-// do makes a call. For a write, an error after the request may have gone out is
-// an UnknownOutcomeError.
-func (c *Client) do(ctx context.Context, cl call) (answer, error) {
+// do makes a call. For a write, an error after the request may have been sent is
+// returned as UnknownOutcomeError.
+func (c *Client) do(ctx context.Context, cl call) (response, error) {
 	if err := c.limiter.Wait(ctx, cl.write); err != nil {
-		return answer{}, &UnavailableError{Op: cl.op, Cause: err}
+		return response{}, &UnavailableError{Op: cl.op, Cause: err}
 	}
-	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: cl.timeout, Idle: callTimeout, Total: answerMost})
+	ctx, cancel := stall.WithLimits(ctx, stall.Limits{FirstByte: cl.timeout, Idle: callTimeout, Total: maxResponseTime})
 	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
-	req, err := c.request(ctx, cl)
+	req, err := c.newRequest(ctx, cl)
 	if err != nil {
-		return answer{}, &UnavailableError{Op: cl.op, Cause: err}
+		return response{}, &UnavailableError{Op: cl.op, Cause: err}
 	}
-	a, err := c.exchange(req)
+	a, err := c.roundTrip(req)
 	if err == nil {
-		return a, c.judge(cl, a)
+		return a, c.checkStatus(cl, a)
 	}
 	if cl.write && sent.Load() {
-		return answer{}, &UnknownOutcomeError{Op: cl.op, Cause: err}
+		return response{}, &UnknownOutcomeError{Op: cl.op, Cause: err}
 	}
-	return answer{}, &UnavailableError{Op: cl.op, Cause: err}
+	return response{}, &UnavailableError{Op: cl.op, Cause: err}
 }
 
-func (c *Client) request(ctx context.Context, cl call) (*http.Request, error) {
-	// A plain reader without GetBody: the transport must not repeat a write.
+func (c *Client) newRequest(ctx context.Context, cl call) (*http.Request, error) {
+	// Use a reader without GetBody, so that the transport cannot retry a write.
 	var body io.Reader
 	if cl.write {
 		body = struct{ io.Reader }{bytes.NewReader(cl.body)}
@@ -130,23 +129,23 @@
 	return req, nil
 }
 
-func (c *Client) exchange(req *http.Request) (answer, error) {
+func (c *Client) roundTrip(req *http.Request) (response, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(stall.NewReader(req.Context(), io.LimitReader(resp.Body, MaxValueBytes*4)))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	v, _ := strconv.ParseUint(strings.Trim(resp.Header.Get("ETag"), `"`), 10, 64)
-	return answer{status: resp.StatusCode, version: Version(v), body: body}, nil
+	return response{status: resp.StatusCode, version: Version(v), body: body}, nil
 }
 
-var errThrottled = errors.New("rate limit")
+var errRateLimited = errors.New("rate limit")
 
-func (c *Client) judge(cl call, a answer) error {
+func (c *Client) checkStatus(cl call, a response) error {
 	switch {
 	case a.status < 300:
 		return nil
@@ -155,11 +154,11 @@
 	case a.status == http.StatusPreconditionFailed, a.status == http.StatusConflict:
 		return &ConflictError{Key: cl.path}
 	case a.status == http.StatusTooManyRequests:
-		return &UnavailableError{Op: cl.op, Cause: errThrottled}
+		return &UnavailableError{Op: cl.op, Cause: errRateLimited}
 	case a.status == http.StatusNotModified:
 		return &UnavailableError{Op: cl.op, Cause: errNoChange}
 	case a.status >= 500 && cl.write:
-		// Also 503: a gateway may say so of a write that went through.
+		// Also 503: a proxy may return it for a write that took effect.
 		return &UnknownOutcomeError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
 	case a.status >= 500:
 		return &UnavailableError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
@@ -169,7 +168,7 @@
 
 var errNoChange = errors.New("no change within the wait")
 
-// IsNoChange tells whether a watch ended without a change.
+// IsNoChange reports whether err says that a watch ended without a change.
 func IsNoChange(err error) bool { return errors.Is(err, errNoChange) }
 
 func objectPath(key string) string { return "/v1/objects/" + url.PathEscape(key) }
--- a/pkg/objectstore/client_test.go
+++ b/pkg/objectstore/client_test.go
@@ -15,7 +15,7 @@
 	"headhill.example/headhill/pkg/callrate"
 )
 
-// slowTransport answers with a list whose bytes come one after the other.
+// slowTransport responds with a list whose bytes arrive one at a time.
 type slowTransport struct {
 	list  string
 	pause time.Duration
@@ -46,8 +46,8 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// listOver lists over a transport whose bytes come with a pause.
-func listOver(t *testing.T, pause time.Duration) (entries []ObjectInfo, err error) {
+// listWithPause calls List over a transport that pauses before each byte.
+func listWithPause(t *testing.T, pause time.Duration) (entries []ObjectInfo, err error) {
 	synctest.Test(t, func(*testing.T) {
 		list := "[" + strings.Repeat(" ", 50) + "]"
 		c := NewClientWithTransport(slowTransport{list: list, pause: pause}, "http://platform.example", "", callrate.DefaultBudget)
@@ -56,15 +56,15 @@
 	return entries, err
 }
 
-// A long list over a slow link takes longer than the platform may take to answer.
+// A response that keeps arriving may take longer than callTimeout in total.
 func TestAnswerThatKeepsComingIsRead(t *testing.T) {
-	entries, err := listOver(t, 100*time.Millisecond)
+	entries, err := listWithPause(t, 100*time.Millisecond)
 	require.NoError(t, err)
 	assert.Empty(t, entries)
 }
 
-func TestAnswerThatStandsStillIsGivenUp(t *testing.T) {
-	_, err := listOver(t, 2*callTimeout)
+func TestStalledResponseTimesOut(t *testing.T) {
+	_, err := listWithPause(t, 2*callTimeout)
 	var unavailable *UnavailableError
 	assert.ErrorAs(t, err, &unavailable)
 }
--- a/pkg/objectstore/errors.go
+++ b/pkg/objectstore/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// NotFoundError says that an object does not exist.
+// NotFoundError is returned if an object does not exist.
 type NotFoundError struct{ Key string }
 
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("object %s does not exist: create it, or check the key prefix in [platform]", e.Key)
 }
 
-// ConflictError says that a conditional write lost: the object has another
-// version than the one the write was conditioned on. The write had no effect.
+// ConflictError is returned if a conditional write failed because the object's version
+// differs from the expected one. The write had no effect.
 type ConflictError struct{ Key string }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("object %s was changed by somebody else: read it again and repeat", e.Key)
 }
 
-// UnavailableError says that the platform did not take the call. The call had no
+// UnavailableError is returned if the platform did not accept the call. The call had no
 // effect.
 type UnavailableError struct {
 	Op    string
@@ -33,8 +33,8 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownOutcomeError says that a write may or may not have taken effect: its answer
-// was lost. Read the object back.
+// UnknownOutcomeError is returned if the response to a write was lost: the write may have
+// taken effect. Read the object back to find out.
 type UnknownOutcomeError struct {
 	Op    string
 	Cause error
@@ -46,7 +46,7 @@
 
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// TooLargeError says that a value exceeds what the platform holds.
+// TooLargeError is returned if a value is larger than MaxValueBytes.
 type TooLargeError struct {
 	Key  string
 	Size int
@@ -56,8 +56,7 @@
 	return fmt.Sprintf("value of %s has %d bytes, the platform holds %d: split it", e.Key, e.Size, MaxValueBytes)
 }
 
-// InvalidResponseError says that the platform answered in a way this client does not
-// understand.
+// InvalidResponseError is returned for a response that the client cannot interpret.
 type InvalidResponseError struct {
 	Op     string
 	Status int
@@ -67,17 +66,16 @@
 	return fmt.Sprintf("platform answered %s with status %d: check that [platform] url names an object API and that the token is valid", e.Op, e.Status)
 }
 
-// IsNotFound tells whether err says that an object does not exist.
+// IsNotFound reports whether err is a NotFoundError.
 func IsNotFound(err error) bool { return is[*NotFoundError](err) }
 
-// IsConflict tells whether err is a lost conditional write.
+// IsConflict reports whether err is a ConflictError.
 func IsConflict(err error) bool { return is[*ConflictError](err) }
 
-// IsUnknownOutcome tells whether err leaves open if a write took effect.
+// IsUnknownOutcome reports whether err is an UnknownOutcomeError.
 func IsUnknownOutcome(err error) bool { return is[*UnknownOutcomeError](err) }
 
-// IsUnavailable tells whether the platform could not be reached or refused the
-// call for now.
+// IsUnavailable reports whether err is an UnavailableError.
 func IsUnavailable(err error) bool { return is[*UnavailableError](err) }
 
 func is[E error](err error) bool {
