--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,28 +1,29 @@
-// Package membership knows which boxes there are and which of them answer.
+// Package membership tracks the boxes of the fleet and their liveness.
 //
-// The platform's box list is the roster: it lags, and while it is away the last
-// one stays in force. Heartbeats between boxes say who answers now. From both
-// follows a View, and from a View, by rendezvous hashing, who owns what. No box
-// is appointed to anything.
+// The roster is the platform's box list. It is eventually consistent, and during an
+// outage of the platform the last list read remains in force. Heartbeats between boxes
+// determine which of them are live. Both are combined into a View, which assigns
+// owners by rendezvous hashing, without leader election.
 package membership
 
 import "time"
 
 const (
-	// HeartbeatInterval is the time between two heartbeats on a link, and FailureTimeout
-	// the silence after which a box is not relied on any more.
+	// HeartbeatInterval is the time between heartbeats on a link, FailureTimeout the time
+	// without heartbeats after which a box is considered dead.
 	HeartbeatInterval = 250 * time.Millisecond
 	FailureTimeout    = 1500 * time.Millisecond
-	// The same in a fleet beyond MaxFullMeshBoxes, where links are many. A process that
-	// dies is noticed by its broken links all the same.
-	sparseHeartbeatEvery = time.Second
-	sparseDeadAfter      = 3500 * time.Millisecond
-	// brokenDeadAfter is the same for a box whose link just broke: long enough to
-	// make the link anew, if the box is still there.
-	brokenDeadAfter = 300 * time.Millisecond
-	// MaxFullMeshBoxes is the largest roster in which every box links to every other.
+	// The values for fleets of more than MaxFullMeshBoxes, which have many links. A process
+	// that dies is still detected early, as its connections close.
+	largeFleetHeartbeatInterval = time.Second
+	largeFleetFailureTimeout    = 3500 * time.Millisecond
+	// linkDownFailureTimeout replaces the failure timeout once the link to a box has closed.
+	// It is long enough to reconnect if the box is still running.
+	linkDownFailureTimeout = 300 * time.Millisecond
+	// MaxFullMeshBoxes is the size of the largest fleet in which every box connects to every
+	// other box.
 	MaxFullMeshBoxes = 32
-	// ringLinks is the number of links a box keeps in a larger roster, besides
-	// those to the owners that it uses.
-	ringLinks = 8
+	// neighbourLinks is the number of links per box in a larger fleet, in addition to those
+	// to the owners that it uses.
+	neighbourLinks = 8
 )
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSilentAndStoppingBoxesOwnNothing(t *testing.T) {
+func TestUnresponsiveAndStoppingBoxesOwnNothing(t *testing.T) {
 	tr := newTracker(3)
 	owned := func() string { return tr.View().Owner("k", "") }
 	first := owned()
@@ -48,7 +48,7 @@
 	require.Equal(t, first, owned())
 	tr.RecordHeartbeat(now.Add(time.Second), Heartbeat{Box: "box-0001", Stopping: true})
 	tr.ExpireHeartbeats(now.Add(2 * time.Second))
-	require.Equal(t, "box-0000", owned(), "one stops, one is silent")
+	require.Equal(t, "box-0000", owned(), "one box is stopping, one is unresponsive")
 	tr.RecordHeartbeat(now.Add(3*time.Second), Heartbeat{Box: "box-0001"})
 	tr.RecordHeartbeat(now.Add(3*time.Second), Heartbeat{Box: "box-0002"})
 	require.Equal(t, first, owned())
@@ -56,8 +56,7 @@
 	require.NotEqual(t, "box-0000", owned())
 }
 
-// The list lags: a box that it does not show yet owns nothing beside the others,
-// and everything if there is no other.
+// A box that is not yet in the box list must own nothing unless it is the only box.
 func TestUnlistedBoxOwnsNothingBesideOthers(t *testing.T) {
 	tr := NewTracker(objectstore.Box{ID: "new", Peer: "10.0.0.1:1", State: objectstore.BoxLive})
 	tr.SetServing(now, true)
@@ -76,9 +75,9 @@
 	require.Positive(t, owned)
 }
 
-// A box that the list does not show yet, but that says it owns things, belongs to
-// the view: its peers that have it on their list count on it.
-func TestBoxHeardBeforeItIsListed(t *testing.T) {
+// A box that is not in the list but sends heartbeats must be in the view, as peers that
+// see it in their list rely on it.
+func TestUnlistedPeerIsInView(t *testing.T) {
 	tr := newTracker(2)
 	tr.RecordHeartbeat(now, Heartbeat{Box: "late", Peer: "10.0.0.9:1", Hall: "hall-1"})
 	b, ok := tr.View().Box("late")
@@ -89,20 +88,20 @@
 	b, _ = tr.View().Box("late")
 	require.False(t, b.eligible())
 	tr.ExpireHeartbeats(now.Add(3 * time.Second))
-	tr.SetRoster(now.Add(2*metFor), roster(2))
+	tr.SetRoster(now.Add(2*unlistedPeerTTL), roster(2))
 	_, ok = tr.View().Box("late")
-	require.False(t, ok, "a box that is neither listed nor heard is kept")
+	require.False(t, ok, "box without a list entry or heartbeats is still in the view")
 }
 
-func TestLeavingServersAreNoBoxes(t *testing.T) {
+func TestLeavingServersAreNotBoxes(t *testing.T) {
 	tr := newTracker(2)
 	tr.SetRoster(now, append(roster(2), objectstore.Box{ID: "engine-1", State: objectstore.BoxLeaving}))
 	require.Len(t, tr.View().Boxes, 2)
 	require.True(t, tr.View().ServerLeaving("engine-1"))
 }
 
-// A box that goes moves only what it owned.
-func TestFewShardsMove(t *testing.T) {
+// Removing a box must not move keys that it did not own.
+func TestRemovedBoxMovesOnlyItsOwnKeys(t *testing.T) {
 	tr := newTracker(50)
 	before := tr.View()
 	tr.SetRoster(now, append(roster(50)[:49:49], roster(50)[49])[:49])
@@ -121,14 +120,14 @@
 	for i := range 32 {
 		keys = append(keys, Key{Name: fmt.Sprint("shard-", i), Hall: "hall-0"})
 	}
-	require.LessOrEqual(t, len(v.LinkTargets(keys)), ringLinks+linkCandidates*len(keys))
+	require.LessOrEqual(t, len(v.LinkTargets(keys)), neighbourLinks+linksPerKey*len(keys))
 	require.Len(t, newTracker(8).View().LinkTargets(nil), 7)
 }
 
 func BenchmarkViewAt1700(b *testing.B) {
 	tr := newTracker(1700)
 	for b.Loop() {
-		tr.compute(now)
+		tr.computeView(now)
 	}
 }
 
@@ -136,7 +135,7 @@
 	v := newTracker(1700).View()
 	b.Run("first", func(b *testing.B) {
 		for b.Loop() {
-			v.owner("shard", "hall-1")
+			v.computeOwner("shard", "hall-1")
 		}
 	})
 	b.Run("again", func(b *testing.B) {
--- a/pkg/membership/tracker.go
+++ b/pkg/membership/tracker.go
@@ -10,7 +10,7 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// Tracker works the view out from the roster and from heartbeats.
+// Tracker maintains the view from the roster and from heartbeats.
 type Tracker struct {
 	self objectstore.Box
 
@@ -18,35 +18,35 @@
 	roster  map[string]objectstore.Box
 	peers   map[string]*peerState
 	serving bool
-	// listed tells whether the box list shows this box.
+	// listed is set while the box list contains this box.
 	listed bool
-	// leavingServers are entries of the box list that are no boxes of ours.
+	// leavingServers holds the backend servers that the box list reports as leaving.
 	leavingServers map[string]bool
 	view           *View
 	changed        chan struct{}
 }
 
-// peerState is what a box's heartbeats say.
+// peerState is the state of a peer according to its heartbeats.
 type peerState struct {
-	incarnation string
-	heard       time.Time
-	linked      bool
-	stopping    bool
-	generation  uint64
-	// entry is what the box says of itself.
-	entry objectstore.Box
+	incarnation   string
+	lastHeartbeat time.Time
+	linked        bool
+	stopping      bool
+	generation    uint64
+	// advertised is the box list entry that the peer advertises for itself.
+	advertised objectstore.Box
 }
 
-// metFor is how long a box that the list does not show is kept after it was last
-// heard. The list lags, and in an outage it may lack a box for hours.
-const metFor = time.Minute
+// unlistedPeerTTL is how long a box that is not in the box list is kept after its last
+// heartbeat. During an outage the list may be missing a box for hours.
+const unlistedPeerTTL = time.Minute
 
-// met tells whether a peer counts although the list does not show it.
-func (p *peerState) met(now time.Time) bool {
-	return p.entry.Peer != "" && now.Sub(p.heard) < metFor
+// isFresh reports whether a peer that is not in the box list is still in the view.
+func (p *peerState) isFresh(now time.Time) bool {
+	return p.advertised.Peer != "" && now.Sub(p.lastHeartbeat) < unlistedPeerTTL
 }
 
-// NewTracker returns a tracker that knows only this box.
+// NewTracker returns a tracker whose view contains only this box.
 func NewTracker(self objectstore.Box) *Tracker {
 	t := &Tracker{
 		self:    self,
@@ -54,25 +54,25 @@
 		peers:   make(map[string]*peerState),
 		changed: make(chan struct{}),
 	}
-	t.view = t.compute(time.Now())
+	t.view = t.computeView(time.Now())
 	return t
 }
 
-// View returns the view as last worked out.
+// View returns the current view.
 func (t *Tracker) View() *View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view
 }
 
-// Changed returns a channel that is closed when the view next changes.
+// Changed returns a channel that is closed at the next change of the view.
 func (t *Tracker) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// SetRoster puts a newer box list in force. This box always belongs to it.
+// SetRoster replaces the roster. This box is always part of it.
 func (t *Tracker) SetRoster(now time.Time, boxes []objectstore.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,11 +93,11 @@
 	}
 	t.listed = listed
 	t.roster[self.ID] = self
-	t.update(now)
+	t.updateView(now)
 }
 
-// Roster returns the boxes that this one knows of, by ID: those of the list in
-// force and those that it only heard.
+// Roster returns all boxes in the view, sorted by ID: those in the box list and those
+// known only from heartbeats or peers.
 func (t *Tracker) Roster() []objectstore.Box {
 	v := t.View()
 	list := make([]objectstore.Box, 0, len(v.Boxes))
@@ -107,8 +107,8 @@
 	return list
 }
 
-// AddDiscovered takes in boxes that a peer knows of. Those that the list does not show are
-// kept while they are heard.
+// AddDiscovered adds boxes reported by a peer. Those that are not in the box list expire
+// unless they send heartbeats.
 func (t *Tracker) AddDiscovered(now time.Time, boxes []objectstore.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,69 +116,69 @@
 		if _, listed := t.roster[b.ID]; listed || b.Peer == "" {
 			continue
 		}
-		p := t.peer(b.ID)
-		if !p.met(now) {
-			p.entry, p.heard = b, now
+		p := t.peerFor(b.ID)
+		if !p.isFresh(now) {
+			p.advertised, p.lastHeartbeat = b, now
 		}
 	}
-	t.update(now)
+	t.updateView(now)
 }
 
-// SetServing says whether this box can own anything: a starting box can't before
-// it is ready, and a stopping one can't any more.
+// SetServing sets whether this box can own keys: a starting box cannot until it is ready,
+// and a stopping box no longer can.
 func (t *Tracker) SetServing(now time.Time, serving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.serving = serving
-	t.update(now)
+	t.updateView(now)
 }
 
-// Serving tells whether this box can own anything.
+// Serving reports whether this box can own keys.
 func (t *Tracker) Serving() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.serving
 }
 
-// Heartbeat is what a peer said of itself.
+// Heartbeat is the content of a peer's heartbeat.
 type Heartbeat struct {
 	Box         string
 	Incarnation string
 	Generation  uint64
 	Stopping    bool
-	// Hall, Region and Peer are the sender's own entry of the box list.
+	// Hall, Region and Peer are the sender's own box list entry.
 	Hall, Region, Peer string
 }
 
-// RecordHeartbeat takes a heartbeat in.
+// RecordHeartbeat updates the view with a heartbeat.
 func (t *Tracker) RecordHeartbeat(now time.Time, h Heartbeat) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.peer(h.Box)
-	known := p.linked && p.stopping == h.Stopping && t.answers(now, p)
+	p := t.peerFor(h.Box)
+	unchanged := p.linked && p.stopping == h.Stopping && t.isResponsive(now, p)
 	p.incarnation = h.Incarnation
-	p.heard = now
+	p.lastHeartbeat = now
 	p.linked = true
 	p.generation = h.Generation
 	p.stopping = h.Stopping
-	p.entry = objectstore.Box{ID: h.Box, Hall: h.Hall, Region: h.Region, Peer: h.Peer, State: objectstore.BoxLive}
-	if !known {
-		t.update(now)
+	p.advertised = objectstore.Box{ID: h.Box, Hall: h.Hall, Region: h.Region, Peer: h.Peer, State: objectstore.BoxLive}
+	if !unchanged {
+		t.updateView(now)
 	}
 }
 
-// MarkLinkDown says that the link to a peer broke, as it does at once when its
-// process dies. Unless it is heard again soon, it is not relied on.
+// MarkLinkDown records that the link to a peer closed, which happens at once when its
+// process dies. The peer is considered dead unless it sends a heartbeat soon.
 func (t *Tracker) MarkLinkDown(now time.Time, box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.peer(box)
-	if limit := now.Add(brokenDeadAfter - deadAfter(len(t.roster))); p.heard.After(limit) {
-		p.heard = limit
+	p := t.peerFor(box)
+	if limit := now.Add(linkDownFailureTimeout - failureTimeout(len(t.roster))); p.lastHeartbeat.After(limit) {
+		p.lastHeartbeat = limit
 	}
 }
 
-// HeardFromAll tells whether every box of the roster sent a heartbeat at some time.
+// HeardFromAll reports whether every other box of the roster has sent a heartbeat.
 func (t *Tracker) HeardFromAll() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,22 +186,22 @@
 		if id == t.self.ID {
 			continue
 		}
-		if p := t.peers[id]; p == nil || p.heard.IsZero() {
+		if p := t.peers[id]; p == nil || p.lastHeartbeat.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// MarkLinked says that this box tries to keep a link to a peer, so that its silence
-// means something.
+// MarkLinked records that this box maintains a link to a peer, so that missing heartbeats
+// mean that the peer failed.
 func (t *Tracker) MarkLinked(box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.peer(box).linked = true
+	t.peerFor(box).linked = true
 }
 
-func (t *Tracker) peer(box string) *peerState {
+func (t *Tracker) peerFor(box string) *peerState {
 	p := t.peers[box]
 	if p == nil {
 		p = &peerState{}
@@ -210,7 +210,8 @@
 	return p
 }
 
-// HighestGeneration returns the box that said the highest configuration generation.
+// HighestGeneration returns the highest configuration generation reported by a peer, and
+// that peer.
 func (t *Tracker) HighestGeneration() (box string, generation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -222,14 +223,14 @@
 	return box, generation
 }
 
-// Self returns this box as its view shows it.
+// Self returns this box as it appears in its own view.
 func (t *Tracker) Self() Box {
 	b, _ := t.View().Box(t.self.ID)
 	return b
 }
 
-// CountWithGeneration counts the other live boxes, and those of them that said that they have a
-// configuration generation in force.
+// CountWithGeneration counts the other live boxes, and those of them whose configuration
+// generation is at least the given one.
 func (t *Tracker) CountWithGeneration(generation uint64) (have, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,22 +248,22 @@
 	return have, live
 }
 
-// ExpireHeartbeats lets time pass: silent boxes stop being live. It looks at the linked peers
-// only, and works the view out anew only if one of them changed.
+// ExpireHeartbeats updates the view if a linked peer has become responsive or
+// unresponsive by now.
 func (t *Tracker) ExpireHeartbeats(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.peers {
 		b, known := t.view.Box(id)
-		if known && p.linked && b.Live != t.answers(now, p) {
-			t.update(now)
+		if known && p.linked && b.Live != t.isResponsive(now, p) {
+			t.updateView(now)
 			return
 		}
 	}
 }
 
-func (t *Tracker) update(now time.Time) {
-	v := t.compute(now)
+func (t *Tracker) updateView(now time.Time) {
+	v := t.computeView(now)
 	if slices.Equal(v.Boxes, t.view.Boxes) && maps.Equal(v.leavingServers, t.view.leavingServers) {
 		return
 	}
@@ -271,26 +272,26 @@
 	t.changed = make(chan struct{})
 }
 
-func (t *Tracker) compute(now time.Time) *View {
+func (t *Tracker) computeView(now time.Time) *View {
 	v := &View{Self: t.self.ID, Boxes: make([]Box, 0, len(t.roster)), leavingServers: t.leavingServers}
 	for id, b := range t.roster {
-		v.Boxes = append(v.Boxes, t.judge(now, id, b))
+		v.Boxes = append(v.Boxes, t.boxState(now, id, b))
 	}
 	for id, p := range t.peers {
-		if _, listed := t.roster[id]; !listed && id != t.self.ID && p.met(now) {
-			v.Boxes = append(v.Boxes, t.judge(now, id, p.entry))
+		if _, listed := t.roster[id]; !listed && id != t.self.ID && p.isFresh(now) {
+			v.Boxes = append(v.Boxes, t.boxState(now, id, p.advertised))
 		}
 	}
 	slices.SortFunc(v.Boxes, func(a, b Box) int { return strings.Compare(a.ID, b.ID) })
 	return v
 }
 
-// answers tells whether a linked peer was heard lately enough to be relied on.
-func (t *Tracker) answers(now time.Time, p *peerState) bool {
-	return now.Sub(p.heard) < deadAfter(len(t.roster))
+// isResponsive reports whether a linked peer sent a heartbeat within the failure timeout.
+func (t *Tracker) isResponsive(now time.Time, p *peerState) bool {
+	return now.Sub(p.lastHeartbeat) < failureTimeout(len(t.roster))
 }
 
-func (t *Tracker) judge(now time.Time, id string, b objectstore.Box) Box {
+func (t *Tracker) boxState(now time.Time, id string, b objectstore.Box) Box {
 	if id == t.self.ID {
 		return Box{Box: b, Live: true, Stopping: !t.serving, Unlisted: !t.listed}
 	}
@@ -298,5 +299,5 @@
 	if p == nil || !p.linked {
 		return Box{Box: b, Live: b.State == objectstore.BoxLive}
 	}
-	return Box{Box: b, Live: t.answers(now, p), Stopping: p.stopping}
+	return Box{Box: b, Live: t.isResponsive(now, p), Stopping: p.stopping}
 }
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -12,27 +12,27 @@
 	"headhill.example/headhill/pkg/objectstore"
 )
 
-// Box is a box as this one sees it.
+// Box is a box as seen by this box.
 type Box struct {
 	objectstore.Box
-	// Live boxes answered lately; boxes without a link count as live while the
-	// roster says so.
+	// Live is set for boxes that sent a heartbeat recently, and for boxes without a link that
+	// are live according to the roster.
 	Live bool
-	// Stopping boxes said that they own nothing: they stop, or are not ready yet.
+	// Stopping is set for boxes that cannot own keys because they are stopping or not ready.
 	Stopping bool
-	// Unlisted is this box while the list does not show it.
+	// Unlisted is set for this box while the box list does not contain it.
 	Unlisted bool
 }
 
-// View is who is there, at one moment. It is immutable.
+// View is an immutable snapshot of the fleet's membership.
 type View struct {
 	Self  string
 	Boxes []Box // by ID
-	// leavingServers are backend servers that the box list shows as leaving.
+	// leavingServers holds the backend servers that the box list reports as leaving.
 	leavingServers map[string]bool
 
-	// owners remembers what Owner worked out: at the target size the roster has
-	// 1,700 boxes, and every reservation asks.
+	// owners caches the results of Owner, which is called for every reservation and is linear
+	// in the number of boxes.
 	owners sync.Map // of Key to string
 }
 
@@ -45,14 +45,13 @@
 	return v.Boxes[i], true
 }
 
-// ServerLeaving tells whether the platform's box list shows a backend server of
-// this name as leaving.
+// ServerLeaving reports whether the box list shows the backend server as leaving.
 func (v *View) ServerLeaving(name string) bool { return v.leavingServers[name] }
 
-// eligible boxes can own something.
+// eligible reports whether the box can own keys.
 func (b *Box) eligible() bool { return b.Live && !b.Stopping && b.State != objectstore.BoxLeaving }
 
-// LiveCount returns the number of live boxes, and of all boxes in the roster.
+// LiveCount returns the number of live boxes and the number of all boxes in the view.
 func (v *View) LiveCount() (live, all int) {
 	for i := range v.Boxes {
 		if v.Boxes[i].Live {
@@ -62,34 +61,34 @@
 	return live, len(v.Boxes)
 }
 
-// Owner returns the box that owns key: the first eligible box in rendezvous
-// order, boxes of the hall before others. It returns "" when none is eligible.
+// Owner returns the box that owns key: the first eligible box in rendezvous order, with
+// boxes of the hall before others. It returns "" if no box is eligible.
 //
-// While the list does not show this box, the others don't count on it, and it owns
-// nothing beside them: two owners would stand until the list has caught up.
+// While the box list does not contain this box, other boxes do not see it as an owner. It
+// then owns nothing unless no other box is eligible, as keys would have two owners.
 func (v *View) Owner(key, hall string) string {
 	k := Key{Name: key, Hall: hall}
 	if o, ok := v.owners.Load(k); ok {
 		return o.(string)
 	}
-	o := v.owner(key, hall)
+	o := v.computeOwner(key, hall)
 	v.owners.Store(k, o)
 	return o
 }
 
-func (v *View) owner(key, hall string) string {
+func (v *View) computeOwner(key, hall string) string {
 	best := ""
 	var bestScore uint64
-	bestNear := false
+	bestInHall := false
 	for i := range v.Boxes {
 		b := &v.Boxes[i]
 		if !b.eligible() || b.Unlisted {
 			continue
 		}
-		near := hall != "" && b.Hall == hall
+		inHall := hall != "" && b.Hall == hall
 		s := score(b.ID, key)
-		if best == "" || (near && !bestNear) || (near == bestNear && s > bestScore) {
-			best, bestScore, bestNear = b.ID, s, near
+		if best == "" || (inHall && !bestInHall) || (inHall == bestInHall && s > bestScore) {
+			best, bestScore, bestInHall = b.ID, s, inHall
 		}
 	}
 	if self, ok := v.Box(v.Self); best == "" && ok && self.eligible() {
@@ -98,21 +97,20 @@
 	return best
 }
 
-// Candidates returns the n boxes that come first in rendezvous order for key,
-// whether they are eligible or not.
+// Candidates returns the first n boxes in rendezvous order for key, eligible or not.
 func (v *View) Candidates(key, hall string, n int) []string {
 	type scored struct {
-		id    string
-		near  bool
-		score uint64
+		id     string
+		inHall bool
+		score  uint64
 	}
 	list := make([]scored, 0, len(v.Boxes))
 	for _, b := range v.Boxes {
-		list = append(list, scored{id: b.ID, near: hall != "" && b.Hall == hall, score: score(b.ID, key)})
+		list = append(list, scored{id: b.ID, inHall: hall != "" && b.Hall == hall, score: score(b.ID, key)})
 	}
 	slices.SortFunc(list, func(a, b scored) int {
-		if a.near != b.near {
-			if a.near {
+		if a.inHall != b.inHall {
+			if a.inHall {
 				return -1
 			}
 			return 1
@@ -128,15 +126,15 @@
 
 func score(box, key string) uint64 {
 	d := xxhash.New()
-	// xxhash never fails to write.
+	// Writing to an xxhash digest never fails.
 	_, _ = d.WriteString(box)
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
-// LinkTargets returns the boxes to keep links to: all of a small roster, else a few
-// neighbours and the candidates for owning the keys in use.
+// LinkTargets returns the boxes to maintain links to: all boxes of a small fleet, or
+// otherwise a few neighbours and the candidate owners of the keys in use.
 func (v *View) LinkTargets(keys []Key) []string {
 	set := make(map[string]bool)
 	if len(v.Boxes) <= MaxFullMeshBoxes {
@@ -144,11 +142,11 @@
 			set[b.ID] = true
 		}
 	} else {
-		for _, id := range v.Candidates(v.Self, "", ringLinks+1) {
+		for _, id := range v.Candidates(v.Self, "", neighbourLinks+1) {
 			set[id] = true
 		}
 		for _, k := range keys {
-			for _, id := range v.Candidates(k.Name, k.Hall, linkCandidates) {
+			for _, id := range v.Candidates(k.Name, k.Hall, linksPerKey) {
 				set[id] = true
 			}
 		}
@@ -162,29 +160,30 @@
 	return list
 }
 
-// linkCandidates is how many possible owners of a key a box keeps links to.
-const linkCandidates = 2
+// linksPerKey is the number of candidate owners of a key that a box maintains links to.
+const linksPerKey = 2
 
-// HeartbeatInterval is the time between two heartbeats in a fleet of this size.
+// HeartbeatInterval returns the time between heartbeats for the size of the fleet.
 func (v *View) HeartbeatInterval() time.Duration {
 	if len(v.Boxes) <= MaxFullMeshBoxes {
 		return HeartbeatInterval
 	}
-	return sparseHeartbeatEvery
+	return largeFleetHeartbeatInterval
 }
 
-// FailureTimeout is the silence that counts as death in a fleet of this size.
-func (v *View) FailureTimeout() time.Duration { return deadAfter(len(v.Boxes)) }
+// FailureTimeout returns the time without heartbeats after which a box of this fleet is
+// considered dead.
+func (v *View) FailureTimeout() time.Duration { return failureTimeout(len(v.Boxes)) }
 
-func deadAfter(boxes int) time.Duration {
+func failureTimeout(boxes int) time.Duration {
 	if boxes <= MaxFullMeshBoxes {
 		return FailureTimeout
 	}
-	return sparseDeadAfter
+	return largeFleetFailureTimeout
 }
 
-// SelectByRendezvous returns the n names that come first in rendezvous order for a box. Boxes
-// choose differently, so that their work spreads.
+// SelectByRendezvous returns the first n names in rendezvous order for a box. The order
+// differs between boxes, which spreads their load.
 func SelectByRendezvous(box string, names []string, n int) []string {
 	if len(names) <= n {
 		return names
@@ -194,5 +193,5 @@
 	return list[:n]
 }
 
-// Key names something that is owned, and the hall that its owner should stand in.
+// Key identifies something that a box owns, and the hall preferred for its owner.
 type Key struct{ Name, Hall string }
