--- a/pkg/peer/credentials.go
+++ b/pkg/peer/credentials.go
@@ -12,25 +12,26 @@
 	"headhill.example/headhill/pkg/settings"
 )
 
-// CredentialsError says that the peer port's keys can't be used.
+// CredentialsError is returned if the certificate, key or roots of the peer port cannot be
+// used.
 type CredentialsError struct {
 	File  string
 	Cause error
 }
 
 func (e *CredentialsError) Error() string {
-	return fmt.Sprintf("peer credentials %s: %v: see [peers] cert, key and roots", e.File, e.Cause)
+	return fmt.Sprintf("cannot use peer credentials in %s: %v; check cert, key and roots in [peers]", e.File, e.Cause)
 }
 
 func (e *CredentialsError) Unwrap() error { return e.Cause }
 
-// Credentials makes the credentials of both sides of a link.
+// Credentials creates the gRPC credentials for both sides of a link.
 type Credentials struct {
 	tls *tls.Config
 }
 
-// LoadCredentials reads the keys that the settings name and checks that they fit
-// together. Plain mode has none.
+// LoadCredentials reads the certificate, key and roots named in the settings and verifies
+// the certificate against the roots. In plain mode it returns insecure credentials.
 func LoadCredentials(p settings.Peers) (*Credentials, error) {
 	if p.Mode == settings.PeerModePlain {
 		return &Credentials{}, nil
@@ -45,7 +46,7 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, &CredentialsError{File: p.RootsFile, Cause: fmt.Errorf("no certificate in it")}
+		return nil, &CredentialsError{File: p.RootsFile, Cause: fmt.Errorf("file contains no certificate")}
 	}
 	_, err = cert.Leaf.Verify(x509.VerifyOptions{Roots: roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	if err != nil {
@@ -60,7 +61,7 @@
 	}}, nil
 }
 
-// server returns the credentials of the peer port.
+// server returns the credentials for the peer port.
 func (s *Credentials) server() credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
@@ -68,8 +69,8 @@
 	return credentials.NewTLS(s.tls)
 }
 
-// client returns the credentials for calling a box: its certificate must name
-// its ID.
+// client returns the credentials for connecting to a box, whose certificate must name its
+// ID.
 func (s *Credentials) client(box string) credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
@@ -79,8 +80,8 @@
 	return credentials.NewTLS(c)
 }
 
-// seed returns the credentials for calling a box whose ID is not known: its
-// certificate must be signed by the roots, whatever it names.
+// seed returns the credentials for connecting to a box of unknown ID: its certificate must
+// be signed by the roots, but may name any box.
 func (s *Credentials) seed() credentials.TransportCredentials {
 	if s.tls == nil {
 		return insecure.NewCredentials()
@@ -98,8 +99,8 @@
 	return credentials.NewTLS(c)
 }
 
-// names tells whether a caller's certificate names the box it says it is.
-func names(info credentials.AuthInfo, box string) bool {
+// certificateNames reports whether the client's certificate names the given box.
+func certificateNames(info credentials.AuthInfo, box string) bool {
 	t, ok := info.(credentials.TLSInfo)
 	if !ok {
 		return true
--- a/pkg/peer/doc.go
+++ b/pkg/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer connects boxes: one grpc stream to each box that this one sends
-// reservations to, with heartbeats both ways, and a few calls besides.
+// Package peer connects boxes over gRPC: one bidirectional stream to each box that this box
+// reserves with, with heartbeats in both directions, and a few other calls.
 package peer
--- a/pkg/peer/links.go
+++ b/pkg/peer/links.go
@@ -17,30 +17,30 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// DownHandler takes in what owners decide for this box.
+// DownHandler handles messages from the owners of shards.
 type DownHandler interface {
-	// HandleDown takes a decision of the box owner.
+	// HandleDown handles a message from the box owner.
 	HandleDown(owner string, m *peerpb.DownMessage)
-	// HandleLinkUp says that messages can be sent to a box from now on; everything
-	// sent before is lost.
+	// HandleLinkUp is called when messages can be sent to a box. Messages sent earlier are
+	// lost.
 	HandleLinkUp(box string)
 }
 
-// Links keeps this box's links to others.
+// Links maintains the links from this box to others.
 type Links struct {
-	ctx      context.Context
-	self     *Self
-	security *Credentials
-	holder   DownHandler
-	logger   log.Logger
+	ctx     context.Context
+	self    *Self
+	creds   *Credentials
+	handler DownHandler
+	logger  log.Logger
 
-	mu    sync.Mutex
-	links map[string]*link
-	calls map[string]*callConn
-	wg    conc.WaitGroup
+	mu        sync.Mutex
+	links     map[string]*link
+	callConns map[string]*callConn
+	wg        conc.WaitGroup
 }
 
-// link is this box's end of a link to one other.
+// link is the client end of a link.
 type link struct {
 	box     string
 	address string
@@ -50,22 +50,22 @@
 	queue *mailbox.Mailbox[*peerpb.UpMessage]
 }
 
-// NewLinks returns links that live until ctx ends.
-func NewLinks(ctx context.Context, self *Self, sec *Credentials, holder DownHandler, logger log.Logger) *Links {
-	return &Links{ctx: ctx, self: self, security: sec, holder: holder, logger: logger, links: make(map[string]*link), calls: make(map[string]*callConn)}
+// NewLinks returns Links that run until ctx ends.
+func NewLinks(ctx context.Context, self *Self, creds *Credentials, handler DownHandler, logger log.Logger) *Links {
+	return &Links{ctx: ctx, self: self, creds: creds, handler: handler, logger: logger, links: make(map[string]*link), callConns: make(map[string]*callConn)}
 }
 
 const (
-	reconnectFirst = 50 * time.Millisecond
-	reconnectMost  = 500 * time.Millisecond
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = 500 * time.Millisecond
 )
 
-// Dial returns a connection to a box at an address.
+// Dial returns a connection to the box at address.
 func (s *Credentials) Dial(box, address string) (*grpc.ClientConn, error) {
 	return dial(address, s.client(box))
 }
 
-// DialSeed returns a connection to whichever box is at an address.
+// DialSeed returns a connection to any box at address.
 func (s *Credentials) DialSeed(address string) (*grpc.ClientConn, error) {
 	return dial(address, s.seed())
 }
@@ -74,21 +74,22 @@
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(creds),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMost},
+			Backoff:           backoff.Config{BaseDelay: minReconnectDelay, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxReconnectDelay},
 			MinConnectTimeout: time.Second,
 		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second, PermitWithoutStream: true}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageMost), grpc.MaxCallSendMsgSize(messageMost)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithDisableServiceConfig(),
 	)
 }
 
-// SetTargets makes and drops links so that there is one to each of the boxes.
+// SetTargets opens and closes links so that there is one to each of the given boxes, a map
+// from ID to address.
 func (l *Links) SetTargets(boxes map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range boxes {
-		l.dropCall(id)
+		l.closeCallConn(id)
 	}
 	for id, k := range l.links {
 		if boxes[id] != k.address {
@@ -104,9 +105,9 @@
 }
 
 func (l *Links) start(box, address string) {
-	conn, err := l.security.Dial(box, address)
+	conn, err := l.creds.Dial(box, address)
 	if err != nil {
-		level.Error(l.logger).Log("msg", "bad peer address", "peer", box, "address", address, "err", err)
+		level.Error(l.logger).Log("msg", "invalid peer address", "peer", box, "address", address, "err", err)
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
@@ -119,15 +120,15 @@
 	})
 }
 
-// run keeps the link's stream up until ctx ends.
+// run keeps the link's stream open until ctx ends.
 func (l *Links) run(ctx context.Context, k *link) {
 	for ctx.Err() == nil {
 		err := l.stream(ctx, k)
 		l.self.Tracker.MarkLinkDown(time.Now(), k.box)
-		level.Debug(l.logger).Log("msg", "link down", "peer", k.box, "err", err)
+		level.Debug(l.logger).Log("msg", "link to peer closed", "peer", k.box, "err", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(reconnectFirst):
+		case <-time.After(minReconnectDelay):
 		}
 	}
 }
@@ -140,7 +141,7 @@
 		return err
 	}
 	q := mailbox.New[*peerpb.UpMessage]()
-	q.Put(l.beatMessage())
+	q.Put(l.heartbeatMessage())
 	l.setQueue(k, q)
 	defer l.setQueue(k, nil)
 	var wg conc.WaitGroup
@@ -148,7 +149,7 @@
 	defer cancel()
 	wg.Go(func() { sendUp(ctx, cancel, s, q) })
 	wg.Go(func() {
-		every(ctx, l.self.Tracker.View().HeartbeatInterval(), func() { q.Put(l.beatMessage()) })
+		runPeriodically(ctx, l.self.Tracker.View().HeartbeatInterval(), func() { q.Put(l.heartbeatMessage()) })
 	})
 	up := false
 	for {
@@ -157,9 +158,9 @@
 			return err
 		}
 		if !up {
-			// The first answer proves that the stream stands.
+			// The first message proves that the stream is established.
 			up = true
-			l.holder.HandleLinkUp(k.box)
+			l.handler.HandleLinkUp(k.box)
 		}
 		l.receive(k.box, down)
 	}
@@ -181,14 +182,14 @@
 func (l *Links) receive(box string, down *peerpb.Down) {
 	for _, m := range down.GetMessages() {
 		if h := m.GetHeartbeat(); h != nil {
-			l.self.heard(h)
+			l.self.recordHeartbeat(h)
 			continue
 		}
-		l.holder.HandleDown(box, m)
+		l.handler.HandleDown(box, m)
 	}
 }
 
-func (l *Links) beatMessage() *peerpb.UpMessage {
+func (l *Links) heartbeatMessage() *peerpb.UpMessage {
 	return &peerpb.UpMessage{Kind: &peerpb.UpMessage_Heartbeat{Heartbeat: l.self.heartbeat()}}
 }
 
@@ -198,8 +199,8 @@
 	k.queue = q
 }
 
-// Send queues a message to a box. False means that there is no link up; HandleLinkUp
-// will tell when there is.
+// Send queues a message to a box. It returns false if the link is down; HandleLinkUp is
+// called once it is up.
 func (l *Links) Send(box string, m *peerpb.UpMessage) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,20 +211,20 @@
 	return k.queue.Put(m)
 }
 
-// BroadcastHeartbeat sends a heartbeat on every link at once, as when this box stops or has a
-// new configuration.
+// BroadcastHeartbeat sends a heartbeat on all links immediately, for example when this box
+// is stopping or has a new configuration.
 func (l *Links) BroadcastHeartbeat() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.links {
 		if k.queue != nil {
-			k.queue.Put(l.beatMessage())
+			k.queue.Put(l.heartbeatMessage())
 		}
 	}
 }
 
-// Client returns a client for single calls to a box of the roster. A box that
-// this one has no link to gets a connection without heartbeats.
+// Client returns a client for calls to a box of the view. A box without a link gets a
+// connection without heartbeats.
 func (l *Links) Client(box string) (peerpb.PeerClient, bool) {
 	b, known := l.self.Tracker.View().Box(box)
 	l.mu.Lock()
@@ -234,38 +235,38 @@
 	if !known || l.ctx.Err() != nil {
 		return nil, false
 	}
-	if c := l.calls[box]; c != nil && c.address == b.Peer {
+	if c := l.callConns[box]; c != nil && c.address == b.Peer {
 		return peerpb.NewPeerClient(c.conn), true
 	}
-	conn, err := l.security.Dial(box, b.Peer)
+	conn, err := l.creds.Dial(box, b.Peer)
 	if err != nil {
 		return nil, false
 	}
-	l.dropCall(box)
-	l.calls[box] = &callConn{address: b.Peer, conn: conn}
+	l.closeCallConn(box)
+	l.callConns[box] = &callConn{address: b.Peer, conn: conn}
 	return peerpb.NewPeerClient(conn), true
 }
 
-// callConn is a connection for single calls.
+// callConn is a connection to a box without a link.
 type callConn struct {
 	address string
 	conn    *grpc.ClientConn
 }
 
-// dropCall is called with the lock held.
-func (l *Links) dropCall(box string) {
-	if c := l.calls[box]; c != nil {
+// closeCallConn must be called with l.mu held.
+func (l *Links) closeCallConn(box string) {
+	if c := l.callConns[box]; c != nil {
 		c.conn.Close()
-		delete(l.calls, box)
+		delete(l.callConns, box)
 	}
 }
 
-// Wait returns when all links have ended, after ctx has.
+// Wait waits until all links are closed. It must be called after ctx has ended.
 func (l *Links) Wait() {
 	l.wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for box := range l.calls {
-		l.dropCall(box)
+	for box := range l.callConns {
+		l.closeCallConn(box)
 	}
 }
--- a/pkg/peer/self.go
+++ b/pkg/peer/self.go
@@ -9,17 +9,17 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// Instance names one run of a box.
+// Instance identifies one run of a box.
 type Instance struct {
 	Box string
-	// Incarnation is new at each start.
+	// Incarnation changes at each start.
 	Incarnation string
 }
 
-// Key is the origin in one word, as the scheduler's request IDs carry it.
+// Key returns the instance as a string, as used in the scheduler's request IDs.
 func (o Instance) Key() string { return o.Box + "/" + o.Incarnation }
 
-// Self is what this box says in its heartbeats.
+// Self is the identity and state that this box sends in its heartbeats.
 type Self struct {
 	Instance
 	Tracker *membership.Tracker
@@ -29,24 +29,24 @@
 	started time.Time
 }
 
-// NewSelf returns the identity of this run of a box.
+// NewSelf returns the Self of a new run of a box.
 func NewSelf(box string, t *membership.Tracker, generation func() uint64) *Self {
 	return &Self{
-		Instance:   Instance{Box: box, Incarnation: randomID()},
+		Instance:   Instance{Box: box, Incarnation: newIncarnation()},
 		Tracker:    t,
 		Generation: generation,
 		started:    time.Now(),
 	}
 }
 
-func randomID() string {
+func newIncarnation() string {
 	var b [8]byte
 	// crypto/rand never fails.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// MonotonicNanos is the box's monotonic clock in nanoseconds, as sent in heartbeats.
+// MonotonicNanos returns the nanoseconds since the box started, as sent in heartbeats.
 func (s *Self) MonotonicNanos() int64 { return int64(time.Since(s.started)) }
 
 func (s *Self) heartbeat() *peerpb.Heartbeat {
@@ -63,8 +63,8 @@
 	}
 }
 
-// heard passes a peer's heartbeat to the tracker.
-func (s *Self) heard(h *peerpb.Heartbeat) {
+// recordHeartbeat passes a peer's heartbeat to the tracker.
+func (s *Self) recordHeartbeat(h *peerpb.Heartbeat) {
 	s.Tracker.RecordHeartbeat(time.Now(), membership.Heartbeat{
 		Box:         h.GetBox(),
 		Incarnation: h.GetIncarnation(),
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -18,19 +18,19 @@
 	"headhill.example/headhill/pkg/peer/peerpb"
 )
 
-// messageMost bounds a message between boxes: a registration of some 100,000
-// requests, or a part of the configuration.
-const messageMost = 16 << 20
+// maxMessageBytes limits a message between boxes. The largest are registrations of some
+// 100,000 requests and parts of the configuration.
+const maxMessageBytes = 16 << 20
 
-// UpHandler takes in what boxes send to the shards owned here.
+// UpHandler handles messages from boxes to the shards owned by this box.
 type UpHandler interface {
-	// HandleUp takes a message of a linked box; decisions go back through c.
+	// HandleUp handles a message from a linked box. Replies are sent through c.
 	HandleUp(c *Conn, m *peerpb.UpMessage)
-	// HandleLinkDown says that the link broke.
+	// HandleLinkDown is called when the link is closed.
 	HandleLinkDown(c *Conn)
 }
 
-// CallHandler answers the single calls of peers.
+// CallHandler handles the calls of peers other than Link.
 type CallHandler interface {
 	Claim(context.Context, *peerpb.ClaimRequest) (*peerpb.ClaimReply, error)
 	EndClaim(context.Context, *peerpb.EndClaimRequest) (*peerpb.EndClaimReply, error)
@@ -38,50 +38,49 @@
 	Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusReply, error)
 }
 
-// Conn is the owner's end of a link: where decisions for one box go.
+// Conn is the owner's end of a link. It sends messages to one box.
 type Conn struct {
 	Instance
-	send func(*peerpb.DownMessage)
-	echo atomic.Int64
+	send      func(*peerpb.DownMessage)
+	echoNanos atomic.Int64
 }
 
-// NewConn returns a link end whose decisions go to send. The link of a box to
-// itself is made so.
+// NewConn returns a Conn that passes messages to send. It is also used for the link of a
+// box to itself.
 func NewConn(o Instance, send func(*peerpb.DownMessage)) *Conn {
 	return &Conn{Instance: o, send: send}
 }
 
-// Send passes a decision on.
+// Send sends a message to the box.
 func (c *Conn) Send(m *peerpb.DownMessage) { c.send(m) }
 
-// EchoNanos is the last clock value that the box sent.
-func (c *Conn) EchoNanos() int64 { return c.echo.Load() }
+// EchoNanos returns the last clock value received from the box.
+func (c *Conn) EchoNanos() int64 { return c.echoNanos.Load() }
 
-// Server is the peer port.
+// Server serves the peer port.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	CallHandler
 
-	self   *Self
-	owner  UpHandler
-	logger log.Logger
+	self    *Self
+	handler UpHandler
+	logger  log.Logger
 }
 
-// NewServer returns a grpc server for the peer port.
-func NewServer(sec *Credentials, self *Self, owner UpHandler, calls CallHandler, logger log.Logger) *grpc.Server {
+// NewServer returns a gRPC server for the peer port.
+func NewServer(creds *Credentials, self *Self, handler UpHandler, calls CallHandler, logger log.Logger) *grpc.Server {
 	g := grpc.NewServer(
-		grpc.Creds(sec.server()),
-		grpc.MaxRecvMsgSize(messageMost),
-		grpc.MaxSendMsgSize(messageMost),
+		grpc.Creds(creds.server()),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxSendMsgSize(maxMessageBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 2 * time.Second, PermitWithoutStream: true}),
 	)
-	peerpb.RegisterPeerServer(g, &Server{CallHandler: calls, self: self, owner: owner, logger: logger})
+	peerpb.RegisterPeerServer(g, &Server{CallHandler: calls, self: self, handler: handler, logger: logger})
 	return g
 }
 
-// Claim, EndClaim, PullConfig and Status resolve to CallHandler, not to the
-// unimplemented stubs.
+// The following methods call CallHandler rather than the embedded unimplemented stubs.
 
 // Claim implements peerpb.PeerServer.
 func (s *Server) Claim(ctx context.Context, r *peerpb.ClaimRequest) (*peerpb.ClaimReply, error) {
@@ -103,8 +102,8 @@
 	return s.CallHandler.Status(ctx, r)
 }
 
-// Link implements peerpb.PeerServer. The first message must be a heartbeat that
-// says who calls.
+// Link implements peerpb.PeerServer. The first message must be a heartbeat, which
+// identifies the client.
 func (s *Server) Link(stream grpc.BidiStreamingServer[peerpb.Up, peerpb.Down]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -116,11 +115,11 @@
 	}
 	q := mailbox.New[*peerpb.DownMessage]()
 	c := NewConn(origin, func(m *peerpb.DownMessage) { q.Put(m) })
-	level.Debug(s.logger).Log("msg", "link from peer", "peer", origin.Box, "incarnation", origin.Incarnation)
+	level.Debug(s.logger).Log("msg", "link opened by peer", "peer", origin.Box, "incarnation", origin.Incarnation)
 	ctx, cancel := context.WithCancel(stream.Context())
 	var wg conc.WaitGroup
 	wg.Go(func() { s.sendDown(ctx, cancel, stream, q) })
-	wg.Go(func() { s.beat(ctx, q) })
+	wg.Go(func() { s.sendHeartbeats(ctx, q) })
 	s.receive(c, first)
 	for {
 		up, err := stream.Recv()
@@ -129,7 +128,7 @@
 		}
 		s.receive(c, up)
 	}
-	s.owner.HandleLinkDown(c)
+	s.handler.HandleLinkDown(c)
 	cancel()
 	wg.Wait()
 	return nil
@@ -141,7 +140,7 @@
 	}
 	h := first.Messages[0].GetHeartbeat()
 	p, ok := grpcpeer.FromContext(ctx)
-	if ok && !names(p.AuthInfo, h.GetBox()) {
+	if ok && !certificateNames(p.AuthInfo, h.GetBox()) {
 		return Instance{}, status.Errorf(codes.PermissionDenied, "the certificate does not name box %q: issue one that does", h.GetBox())
 	}
 	return Instance{Box: h.GetBox(), Incarnation: h.GetIncarnation()}, nil
@@ -151,15 +150,14 @@
 	for _, m := range up.GetMessages() {
 		if h := m.GetHeartbeat(); h != nil {
 			c.SetEchoNanos(h.GetSentNanos())
-			s.self.heard(h)
+			s.self.recordHeartbeat(h)
 			continue
 		}
-		s.owner.HandleUp(c, m)
+		s.handler.HandleUp(c, m)
 	}
 }
 
-// sendDown writes decisions out; when the peer is too slow to take them the
-// stream ends.
+// sendDown sends queued messages to the peer. It ends the stream if sending fails.
 func (s *Server) sendDown(ctx context.Context, cancel func(), stream grpc.BidiStreamingServer[peerpb.Up, peerpb.Down], q *mailbox.Mailbox[*peerpb.DownMessage]) {
 	defer cancel()
 	for {
@@ -173,14 +171,14 @@
 	}
 }
 
-func (s *Server) beat(ctx context.Context, q *mailbox.Mailbox[*peerpb.DownMessage]) {
-	every(ctx, s.self.Tracker.View().HeartbeatInterval(), func() {
+func (s *Server) sendHeartbeats(ctx context.Context, q *mailbox.Mailbox[*peerpb.DownMessage]) {
+	runPeriodically(ctx, s.self.Tracker.View().HeartbeatInterval(), func() {
 		q.Put(&peerpb.DownMessage{Kind: &peerpb.DownMessage_Heartbeat{Heartbeat: s.self.heartbeat()}})
 	})
 }
 
-// every calls f now and then at each interval until ctx ends.
-func every(ctx context.Context, d time.Duration, f func()) {
+// runPeriodically calls f immediately and then at each interval until ctx ends.
+func runPeriodically(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -193,5 +191,5 @@
 	}
 }
 
-// SetEchoNanos notes the clock value that the box sent last.
-func (c *Conn) SetEchoNanos(nanos int64) { c.echo.Store(nanos) }
+// SetEchoNanos records the last clock value received from the box.
+func (c *Conn) SetEchoNanos(nanos int64) { c.echoNanos.Store(nanos) }
