--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -1,4 +1,4 @@
-// Package box puts the duties of one box together: it is the daemon.
+// Package box assembles the components of a box into the daemon.
 package box
 
 import (
@@ -28,28 +28,28 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// Box is one daemon.
+// Box is a running daemon.
 type Box struct {
 	settings settings.Settings
 	logger   log.Logger
 
-	platform *objectstore.Client
-	store    *config.Store
-	tracker  *membership.Tracker
-	self     *peer.Self
-	security *peer.Credentials
-	runner   *shard.Runner
-	broker   *shard.Broker
-	links    *peer.Links
-	claims   *claims.Client
-	backend  *backend.Client
-	metrics  *telemetry.Metrics
-
-	entry   *entry.Handler
-	callers *http.Server
-	admins  *http.Server
-	peers   *grpc.Server
-	ports   ports
+	platform    *objectstore.Client
+	store       *config.Store
+	tracker     *membership.Tracker
+	self        *peer.Self
+	credentials *peer.Credentials
+	runner      *shard.Runner
+	broker      *shard.Broker
+	links       *peer.Links
+	claims      *claims.Client
+	backend     *backend.Client
+	metrics     *telemetry.Metrics
+
+	entry        *entry.Handler
+	callerServer *http.Server
+	adminServer  *http.Server
+	peerServer   *grpc.Server
+	ports        ports
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -59,14 +59,14 @@
 	stopping bool
 }
 
-// ports are the open listeners.
+// ports holds the open listeners.
 type ports struct {
 	caller, peer, admin net.Listener
 }
 
-// New opens a box's ports and puts its parts together. Nothing runs before Start.
+// New opens the ports of a box and assembles its components. Nothing runs before Start.
 func New(s settings.Settings, logs *logflags.Loggers) (*Box, error) {
-	security, err := peer.LoadCredentials(s.Peers)
+	credentials, err := peer.LoadCredentials(s.Peers)
 	if err != nil {
 		return nil, err
 	}
@@ -74,16 +74,16 @@
 	if err != nil {
 		return nil, oops.In("telemetry").Wrap(err)
 	}
-	b := &Box{settings: s, logger: logs.For(logflags.Box), security: security, metrics: metrics}
-	if b.ports, err = open(s.Listen); err != nil {
+	b := &Box{settings: s, logger: logs.For(logflags.Box), credentials: credentials, metrics: metrics}
+	if b.ports, err = openPorts(s.Listen); err != nil {
 		return nil, err
 	}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	b.assemble(logs)
-	return b, b.gauges()
+	return b, b.addGauges()
 }
 
-func open(l settings.Listen) (ports, error) {
+func openPorts(l settings.Listen) (ports, error) {
 	var p ports
 	for _, x := range []struct {
 		key, address string
@@ -92,7 +92,7 @@
 		ln, err := net.Listen("tcp", x.address)
 		if err != nil {
 			p.close()
-			return ports{}, oops.In("box").With("key", x.key).Wrapf(err, "port [listen] %s = %s can't be opened: free it or name another", x.key, x.address)
+			return ports{}, oops.In("box").With("key", x.key).Wrapf(err, "cannot listen on [listen] %s = %s; free the port or configure another", x.key, x.address)
 		}
 		*x.to = ln
 	}
@@ -119,7 +119,7 @@
 	b.backend = backend.NewClient(s.Limits.AnswerTimeout)
 	b.runner = shard.NewRunner(b.self, b.store, b.tracker, b.backend, logs.For(logflags.Shard))
 	b.broker = shard.NewBroker(b.self, b.store, b.tracker, b.runner, logs.For(logflags.Shard))
-	b.links = peer.NewLinks(b.ctx, b.self, b.security, b.broker, logs.For(logflags.Peer))
+	b.links = peer.NewLinks(b.ctx, b.self, b.credentials, b.broker, logs.For(logflags.Peer))
 	b.broker.SetSender(b.links)
 	b.claims = claims.NewClient(b.platform, s.Platform.Prefix, b.tracker, logs.For(logflags.Claims))
 	b.claims.SetPeers(b.links)
@@ -127,15 +127,15 @@
 		Limits: s.Limits, Hall: s.Box.Hall, Tracker: b.tracker, Store: b.store, Broker: b.broker, Backend: b.backend,
 		Claims: b.claims, Metrics: b.metrics, Logger: logs.For(logflags.Entry), Ready: b.Ready,
 	})
-	b.callers = b.entry.Server()
-	b.admins = admin.NewHandler(admin.Deps{
+	b.callerServer = b.entry.Server()
+	b.adminServer = admin.NewHandler(admin.Deps{
 		Operators: s.Operators, Store: b.store, Fleet: b, Metrics: b.metrics,
-		Logger: logs.For(logflags.Admin), Ready: b.Ready, AwaitReplication: b.spread,
+		Logger: logs.For(logflags.Admin), Ready: b.Ready, AwaitReplication: b.awaitReplication,
 	}).Server()
-	b.peers = peer.NewServer(b.security, b.self, b.runner, &peerCalls{Box: b}, logs.For(logflags.Peer))
+	b.peerServer = peer.NewServer(b.credentials, b.self, b.runner, &peerCalls{Box: b}, logs.For(logflags.Peer))
 }
 
-// Start begins to serve.
+// Start starts all components and serves the ports.
 func (b *Box) Start() {
 	for _, f := range []func(){
 		func() { b.store.Follow(b.ctx, config.MaxFollowDelay) },
@@ -144,58 +144,58 @@
 		b.followView,
 		func() { b.runner.Run(b.ctx) },
 		func() { b.broker.Run(b.ctx) },
-		func() { b.report("peer", b.peers.Serve(b.ports.peer)) },
-		func() { b.report("caller", b.callers.Serve(b.ports.caller)) },
-		func() { b.report("admin", b.admins.Serve(b.ports.admin)) },
+		func() { b.logServeError("peer", b.peerServer.Serve(b.ports.peer)) },
+		func() { b.logServeError("caller", b.callerServer.Serve(b.ports.caller)) },
+		func() { b.logServeError("admin", b.adminServer.Serve(b.ports.admin)) },
 	} {
 		b.wg.Go(f)
 	}
 	level.Info(b.logger).Log("msg", "listening", "box", b.settings.Box.ID, "caller", b.CallerAddr(), "peer", b.PeerAddr(), "admin", b.AdminAddr())
 }
 
-func (b *Box) report(port string, err error) {
+func (b *Box) logServeError(port string, err error) {
 	if b.ctx.Err() == nil && err != nil && err != http.ErrServerClosed {
-		level.Error(b.logger).Log("msg", "port closed", "port", port, "err", err)
+		level.Error(b.logger).Log("msg", "server stopped unexpectedly", "port", port, "err", err)
 	}
 }
 
-// CallerAddr is the address of the callers' port.
+// CallerAddr returns the address of the caller port.
 func (b *Box) CallerAddr() string { return b.ports.caller.Addr().String() }
 
-// PeerAddr is the address of the peer port.
+// PeerAddr returns the address of the peer port.
 func (b *Box) PeerAddr() string { return b.ports.peer.Addr().String() }
 
-// AdminAddr is the address of the operators' port.
+// AdminAddr returns the address of the admin port.
 func (b *Box) AdminAddr() string { return b.ports.admin.Addr().String() }
 
-// Generation is the configuration generation in force.
+// Generation returns the configuration generation in force.
 func (b *Box) Generation() uint64 { return b.store.Current().Generation }
 
-// Ready tells whether the box should get callers: it has the highest
-// configuration that the platform or any peer names, and does not stop.
+// Ready reports whether the box should receive callers: it is not stopping and has the
+// highest configuration generation known to the platform or a peer.
 func (b *Box) Ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.stopping && b.tracker.Serving()
 }
 
-// caughtUp tells whether a starting box knows all that its peers know.
+// caughtUp reports whether a starting box has the latest configuration of its peers.
 func (b *Box) caughtUp() bool {
 	_, highest := b.tracker.HighestGeneration()
 	return b.store.Loaded() && b.Generation() >= highest
 }
 
-// Kill ends the box at once, as a crash does.
+// Kill stops the box immediately, as a crash would.
 func (b *Box) Kill() {
 	b.cancel()
-	b.callers.Close()
-	b.admins.Close()
-	b.peers.Stop()
-	b.finish()
+	b.callerServer.Close()
+	b.adminServer.Close()
+	b.peerServer.Stop()
+	b.waitAndClose()
 }
 
-// finish waits for everything that Start began.
-func (b *Box) finish() {
+// waitAndClose waits for all goroutines that Start began, then closes the clients.
+func (b *Box) waitAndClose() {
 	b.wg.Wait()
 	b.links.Wait()
 	b.backend.Close()
@@ -203,7 +203,7 @@
 	_ = b.metrics.Close()
 }
 
-const heldCheck = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // InProgress returns the number of callers' requests in progress.
 func (b *Box) InProgress() int { return b.entry.InFlight() }
--- a/pkg/box/calls.go
+++ b/pkg/box/calls.go
@@ -31,7 +31,7 @@
 	}
 	entries, ok := b.store.EntriesSince(r.GetGeneration())
 	if !ok {
-		return b.sendCopy(stream)
+		return b.sendSnapshot(stream)
 	}
 	for _, e := range entries {
 		err := stream.Send(&peerpb.PullConfigReply{
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func (b *Box) sendCopy(stream grpc.ServerStreamingServer[peerpb.PullConfigReply]) error {
+func (b *Box) sendSnapshot(stream grpc.ServerStreamingServer[peerpb.PullConfigReply]) error {
 	generation, parts := b.store.SnapshotParts()
 	for i, p := range parts {
 		m := &peerpb.PullConfigReply{Generation: generation, Part: p, Last: i == len(parts)-1}
@@ -55,12 +55,12 @@
 	return nil
 }
 
-// Status answers a peer.
+// Status implements peer.CallHandler.
 func (b *peerCalls) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
 	return b.status(), nil
 }
 
-// peerCalls is the box as peers call it; its Status differs from the operators'.
+// peerCalls implements peer.CallHandler. Its Status differs from the operators' Status.
 type peerCalls struct{ *Box }
 
 func (b *Box) status() *peerpb.StatusReply {
@@ -80,19 +80,19 @@
 
 const statusTimeout = 2 * time.Second
 
-// Status asks every box of the roster.
+// Status queries the status of every box in the view.
 func (b *Box) Status(ctx context.Context) []api.BoxStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	v := b.tracker.View()
-	return iter.Map(v.Boxes, func(x *membership.Box) api.BoxStatus { return b.askStatus(ctx, x) })
+	return iter.Map(v.Boxes, func(x *membership.Box) api.BoxStatus { return b.fetchStatus(ctx, x) })
 }
 
-func (b *Box) askStatus(ctx context.Context, x *membership.Box) api.BoxStatus {
+func (b *Box) fetchStatus(ctx context.Context, x *membership.Box) api.BoxStatus {
 	if x.ID == b.self.Box {
-		return statusOf(b.status())
+		return toBoxStatus(b.status())
 	}
-	conn, err := b.security.Dial(x.ID, x.Peer)
+	conn, err := b.credentials.Dial(x.ID, x.Peer)
 	if err != nil {
 		return api.BoxStatus{Box: x.ID, Error: err.Error()}
 	}
@@ -101,10 +101,10 @@
 	if err != nil {
 		return api.BoxStatus{Box: x.ID, Error: err.Error()}
 	}
-	return statusOf(r)
+	return toBoxStatus(r)
 }
 
-func statusOf(r *peerpb.StatusReply) api.BoxStatus {
+func toBoxStatus(r *peerpb.StatusReply) api.BoxStatus {
 	s := api.BoxStatus{Box: r.GetBox(), Generation: r.GetGeneration(), Ready: r.GetReady(), Stopping: r.GetStopping()}
 	for _, sh := range r.GetShards() {
 		s.Shards = append(s.Shards, api.ShardStatus{
--- a/pkg/box/follow.go
+++ b/pkg/box/follow.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	// rosterLeast and rosterPerBox space the readings of the box list: the
-	// fleet reads it at most 100 times a second, whatever its size.
-	rosterLeast  = 2 * time.Second
-	rosterPerBox = 10 * time.Millisecond
-	// pullEvery is how often a box looks whether a peer is ahead of it.
-	pullEvery   = 100 * time.Millisecond
-	pullTimeout = 5 * time.Second
-	seedTimeout = 2 * time.Second
+	// minRosterInterval and rosterIntervalPerBox determine the interval between reads of the
+	// box list: the whole fleet reads it at most 100 times a second.
+	minRosterInterval    = 2 * time.Second
+	rosterIntervalPerBox = 10 * time.Millisecond
+	// pullInterval is the interval between checks for a peer with a newer configuration.
+	pullInterval = 100 * time.Millisecond
+	pullTimeout  = 5 * time.Second
+	seedTimeout  = 2 * time.Second
 )
 
-// followRoster keeps the box list up.
+// followRoster reads the box list periodically.
 func (b *Box) followRoster() {
 	for b.ctx.Err() == nil {
 		boxes, err := b.platform.Boxes(b.ctx)
 		if err == nil {
 			b.setRoster(boxes)
 		} else {
-			level.Debug(b.logger).Log("msg", "box list can't be read; the last one stays", "err", err)
-			b.askPeers()
+			level.Debug(b.logger).Log("msg", "cannot read box list, keeping the previous one", "err", err)
+			b.discoverFromPeers()
 		}
-		every := max(rosterLeast, time.Duration(len(boxes))*rosterPerBox)
-		pause.For(b.ctx, every/2+rand.N(every))
+		interval := max(minRosterInterval, time.Duration(len(boxes))*rosterIntervalPerBox)
+		pause.For(b.ctx, interval/2+rand.N(interval))
 	}
 }
 
@@ -49,9 +49,9 @@
 	b.platform.SetBudget(b.settings.Platform.CallBudget.Share(len(boxes)))
 }
 
-// askPeers learns of boxes while the platform is away: from a live peer, or from
-// the seeds of the settings as long as no other box is known.
-func (b *Box) askPeers() {
+// discoverFromPeers discovers boxes during an outage of the platform: from a live peer, or
+// from the seeds in the settings if no other box is live.
+func (b *Box) discoverFromPeers() {
 	v := b.tracker.View()
 	var live []string
 	for i := range v.Boxes {
@@ -60,7 +60,7 @@
 		}
 	}
 	if len(live) == 0 {
-		b.askSeeds()
+		b.discoverFromSeeds()
 		return
 	}
 	id := live[rand.N(len(live))]
@@ -68,40 +68,40 @@
 	if !ok {
 		return
 	}
-	if err := b.learn(c); err != nil {
-		level.Debug(b.logger).Log("msg", "peer does not tell of other boxes", "peer", id, "err", err)
+	if err := b.fetchRoster(c); err != nil {
+		level.Debug(b.logger).Log("msg", "cannot fetch roster from peer", "peer", id, "err", err)
 	}
 }
 
-// askSeeds asks one seed after the other until one answers.
-func (b *Box) askSeeds() {
+// discoverFromSeeds queries the seeds in order until one responds.
+func (b *Box) discoverFromSeeds() {
 	for _, address := range b.settings.Peers.Seeds {
 		if address == b.PeerAddr() {
 			continue
 		}
-		if err := b.askSeed(address); err != nil {
-			level.Debug(b.logger).Log("msg", "seed does not answer", "address", address, "err", err)
+		if err := b.discoverFromSeed(address); err != nil {
+			level.Debug(b.logger).Log("msg", "cannot discover boxes from seed", "address", address, "err", err)
 			continue
 		}
 		return
 	}
 }
 
-func (b *Box) askSeed(address string) error {
-	conn, err := b.security.DialSeed(address)
+func (b *Box) discoverFromSeed(address string) error {
+	conn, err := b.credentials.DialSeed(address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	c := peerpb.NewPeerClient(conn)
-	if err := b.learn(c); err != nil {
+	if err := b.fetchRoster(c); err != nil {
 		return err
 	}
 	return b.pull(c)
 }
 
-// learn takes in the boxes that a peer knows of.
-func (b *Box) learn(c peerpb.PeerClient) error {
+// fetchRoster adds the boxes known to a peer.
+func (b *Box) fetchRoster(c peerpb.PeerClient) error {
 	ctx, cancel := context.WithTimeout(b.ctx, seedTimeout)
 	defer cancel()
 	st, err := c.Status(ctx, &peerpb.StatusRequest{}, grpc.WaitForReady(true))
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// followPeers pulls configuration from a peer that is ahead, and notes when a
-// starting box has caught up.
+// followPeers pulls the configuration from a peer that has a newer one, and starts serving
+// once a starting box has caught up.
 func (b *Box) followPeers() {
 	for b.ctx.Err() == nil {
 		if box, g := b.tracker.HighestGeneration(); g > b.Generation() {
@@ -128,14 +128,14 @@
 		if !b.tracker.Serving() {
 			b.serveWhenReady()
 		}
-		pause.For(b.ctx, pullEvery)
+		pause.For(b.ctx, pullInterval)
 	}
 }
 
 func (b *Box) serveWhenReady() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stopping || !b.caughtUp() || !b.heardPeers() {
+	if b.stopping || !b.caughtUp() || !b.heardFromPeers() {
 		return
 	}
 	b.tracker.SetServing(time.Now(), true)
@@ -143,10 +143,9 @@
 	level.Info(b.logger).Log("msg", "ready", "generation", b.Generation())
 }
 
-// heardPeers tells whether every box that this one links to has answered or had
-// the time to, so that a starting box does not take shards over from boxes it
-// just has not heard yet.
-func (b *Box) heardPeers() bool {
+// heardFromPeers reports whether all other boxes have sent a heartbeat or had enough time
+// to do so. A starting box must not take over shards of boxes that it has not heard from.
+func (b *Box) heardFromPeers() bool {
 	if b.self.MonotonicNanos() > int64(membership.FailureTimeout) {
 		return true
 	}
@@ -160,11 +159,11 @@
 		return
 	}
 	if err := b.pull(c); err != nil {
-		level.Warn(b.logger).Log("msg", "pulling configuration from a peer failed", "peer", box, "err", err)
+		level.Warn(b.logger).Log("msg", "cannot pull configuration from peer", "peer", box, "err", err)
 	}
 }
 
-// pull takes over what a peer has beyond this box.
+// pull applies the configuration entries that a peer has and this box lacks.
 func (b *Box) pull(c peerpb.PeerClient) error {
 	ctx, cancel := context.WithTimeout(b.ctx, pullTimeout)
 	defer cancel()
@@ -182,14 +181,14 @@
 		if err != nil {
 			return err
 		}
-		if parts, err = b.takePulled(m, parts); err != nil {
+		if parts, err = b.applyPulled(m, parts); err != nil {
 			return err
 		}
 	}
 }
 
-// takePulled handles one message of a pull: a record, or a part of a whole copy.
-func (b *Box) takePulled(m *peerpb.PullConfigReply, parts [][]byte) ([][]byte, error) {
+// applyPulled applies one message of a pull: a record, or a part of a snapshot.
+func (b *Box) applyPulled(m *peerpb.PullConfigReply, parts [][]byte) ([][]byte, error) {
 	if m.GetPart() == nil {
 		return parts, b.store.ApplyEntry(config.Entry{
 			Generation: m.GetGeneration(),
@@ -204,33 +203,33 @@
 }
 
 const (
-	// spreadTo is the number of other boxes that have a change before its operator
-	// is told, spreadWithin the longest wait for them: the change is accepted
-	// either way.
-	spreadTo     = 2
-	spreadWithin = 2 * time.Second
-	spreadCheck  = 5 * time.Millisecond
+	// minReplicas is the number of other boxes that must have a change before the operator
+	// gets the response. After replicationTimeout the response is sent regardless, as the
+	// change has already been accepted.
+	minReplicas             = 2
+	replicationTimeout      = 2 * time.Second
+	replicationPollInterval = 5 * time.Millisecond
 )
 
-// spread waits until enough other boxes have a generation.
-func (b *Box) spread(ctx context.Context, generation uint64) {
-	ctx, cancel := context.WithTimeout(ctx, spreadWithin)
+// awaitReplication waits until enough other boxes have a generation.
+func (b *Box) awaitReplication(ctx context.Context, generation uint64) {
+	ctx, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		have, live := b.tracker.CountWithGeneration(generation)
-		if have >= min(spreadTo, live) {
+		replicas, live := b.tracker.CountWithGeneration(generation)
+		if replicas >= min(minReplicas, live) {
 			return
 		}
-		pause.For(ctx, spreadCheck)
+		pause.For(ctx, replicationPollInterval)
 	}
 }
 
-// followView keeps the links to the boxes that matter, and tells peers of a new
-// configuration at once.
+// followView updates the links when the view or the configuration changes, and notifies
+// peers of a new configuration immediately.
 func (b *Box) followView() {
 	for {
 		view, conf := b.tracker.Changed(), b.store.Changed()
-		b.retarget()
+		b.updateLinks()
 		b.links.BroadcastHeartbeat()
 		select {
 		case <-b.ctx.Done():
@@ -241,10 +240,10 @@
 	}
 }
 
-func (b *Box) retarget() {
+func (b *Box) updateLinks() {
 	v := b.tracker.View()
 	targets := make(map[string]string)
-	for _, id := range v.LinkTargets(b.keys()) {
+	for _, id := range v.LinkTargets(b.shardKeys()) {
 		if x, ok := v.Box(id); ok && x.Peer != "" {
 			targets[id] = x.Peer
 		}
@@ -252,9 +251,9 @@
 	b.links.SetTargets(targets)
 }
 
-// keys names the shards whose owners this box reserves with. Claim coordinators are
-// called without a link.
-func (b *Box) keys() []membership.Key {
+// shardKeys returns the keys of the shards that this box reserves with. Claim coordinators
+// are called without a link.
+func (b *Box) shardKeys() []membership.Key {
 	st, v := b.store.Current(), b.tracker.View()
 	var keys []membership.Key
 	for _, svc := range st.Services() {
--- a/pkg/box/gauges.go
+++ b/pkg/box/gauges.go
@@ -6,8 +6,8 @@
 	"headhill.example/headhill/pkg/telemetry"
 )
 
-// gauges shows what the box holds and owns at the moment it is asked.
-func (b *Box) gauges() error {
+// addGauges registers the gauges of the box, which are computed on collection.
+func (b *Box) addGauges() error {
 	return b.metrics.AddGauges(
 		telemetry.Gauge{Name: "headhill_waiting", Help: "Requests waiting in the shards that this box owns.", Attribute: "class", Observe: b.waitingByClass},
 		telemetry.Gauge{Name: "headhill_running", Help: "Requests running on the servers of the shards that this box owns.", Attribute: "shard", Observe: b.runningByShard},
--- a/pkg/box/stop.go
+++ b/pkg/box/stop.go
@@ -9,9 +9,9 @@
 	"headhill.example/headhill/pkg/pause"
 )
 
-// Stop ends the box as planned: it hands its shards over, still takes callers
-// for a moment while the balancer notices, finishes every request in progress,
-// and only then ends. It is bounded by [limits] stop, and by ctx.
+// Stop shuts the box down gracefully. It hands over its shards, keeps accepting callers for
+// the stop notice while the load balancer reacts, finishes the requests in progress, and
+// then exits. It is limited by [limits] stop and by ctx.
 func (b *Box) Stop(ctx context.Context) {
 	b.mu.Lock()
 	b.stopping = true
@@ -22,15 +22,15 @@
 	ctx, cancel := b.stopContext(ctx)
 	defer cancel()
 	pause.For(ctx, b.settings.Limits.StopNotice)
-	if err := b.callers.Shutdown(ctx); err != nil {
-		level.Warn(b.logger).Log("msg", "planned stop cut short", "cut", b.entry.InFlight(), "err", err)
-		b.callers.Close()
+	if err := b.callerServer.Shutdown(ctx); err != nil {
+		level.Warn(b.logger).Log("msg", "graceful stop interrupted", "cut", b.entry.InFlight(), "err", err)
+		b.callerServer.Close()
 	}
 	b.drain(ctx)
 	b.cancel()
-	b.admins.Close()
-	b.peers.Stop()
-	b.finish()
+	b.adminServer.Close()
+	b.peerServer.Stop()
+	b.waitAndClose()
 	level.Info(b.logger).Log("msg", "stopped")
 }
 
@@ -41,9 +41,9 @@
 	return context.WithTimeout(ctx, b.settings.Limits.StopTimeout)
 }
 
-// drain waits until no reservation of this box is left with any owner.
+// drain waits until this box has no reservations left.
 func (b *Box) drain(ctx context.Context) {
 	for b.broker.ReservationCount() > 0 && ctx.Err() == nil {
-		pause.For(ctx, heldCheck)
+		pause.For(ctx, drainPollInterval)
 	}
 }
