--- a/pkg/localfleet/call.go
+++ b/pkg/localfleet/call.go
@@ -14,23 +14,23 @@
 	"headhill.example/headhill/pkg/sse"
 )
 
-// Response is what a caller got.
+// Response is the response that a caller received.
 type Response struct {
 	Status int
 	Header http.Header
-	// Text is the content of a chat completion, or the body of anything else.
+	// Text is the content of a chat completion, or the body of any other response.
 	Text string
-	// Events are the raw events of a stream.
+	// Events holds the raw events of a stream.
 	Events [][]byte
-	// Complete says that a stream ended with its closing mark.
+	// Complete is set if a stream ended with the [DONE] event.
 	Complete bool
-	// Error is the error event or body, if there was one.
+	// Error is the error event or error body, if any.
 	Error *api.Error
-	// Outcome is what the caller was told.
+	// Outcome is the value of the outcome header or trailer.
 	Outcome api.Outcome
 }
 
-// Chat sends a streamed chat completion to a base URL.
+// Chat sends a streaming chat completion request to the box at a base URL.
 func Chat(ctx context.Context, base, content string, header http.Header) (Response, error) {
 	body, err := json.Marshal(map[string]any{
 		"model":    Model,
@@ -43,7 +43,7 @@
 	return do(ctx, http.MethodPost, base+"/v1/chat/completions", body, header)
 }
 
-// Call sends a call to the plain service at a base URL.
+// Call sends a request to the plain service through the box at a base URL.
 func Call(ctx context.Context, base, path string, body []byte, header http.Header) (Response, error) {
 	return do(ctx, http.MethodPost, base+"/services/"+PlainService+path, body, header)
 }
@@ -59,18 +59,18 @@
 	if req.Header.Get("Authorization") == "" {
 		req.Header.Set("Authorization", "Bearer "+CallerKey)
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return Response{}, err
 	}
 	defer resp.Body.Close()
-	return read(resp)
+	return readResponse(resp)
 }
 
-// callers is the callers' own client: it never repeats a request by itself.
-var callers = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// callerClient never retries requests.
+var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func read(resp *http.Response) (Response, error) {
+func readResponse(resp *http.Response) (Response, error) {
 	a := Response{Status: resp.StatusCode, Header: resp.Header}
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
 		err := a.readStream(resp.Body)
@@ -87,7 +87,7 @@
 	return a, err
 }
 
-// eventBody is the part of an event that a caller reads.
+// eventBody holds the fields of an event that the caller uses.
 type eventBody struct {
 	Choices []struct {
 		Delta struct {
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -20,7 +20,7 @@
 	"headhill.example/headhill/pkg/standin/service"
 )
 
-// ownerOf returns the number of the box that owns a shard.
+// ownerOf returns the index of the box that owns a shard.
 func (f *Fleet) ownerOf(ctx context.Context, t *testing.T, shard string) int {
 	t.Helper()
 	owner := -1
@@ -41,7 +41,7 @@
 	return owner
 }
 
-// owners lists, for each shard, the boxes that own it in their own view.
+// owners returns, for each shard, the boxes that consider themselves its owner.
 func (f *Fleet) owners(ctx context.Context) map[string][]string {
 	m := make(map[string][]string)
 	for i, b := range f.Boxes {
@@ -66,8 +66,8 @@
 	return -1
 }
 
-// whole says what is wrong with an answer to content.
-func whole(a Response, content string) error {
+// checkResponse returns an error unless a is the complete response to content.
+func checkResponse(a Response, content string) error {
 	want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
 	if a.Complete && a.Text == want && a.Outcome == api.OutcomeDone {
 		return nil
@@ -75,8 +75,8 @@
 	return fmt.Errorf("%s: status %d, outcome %q, text %q, error %+v", content, a.Status, a.Outcome, a.Text, a.Error)
 }
 
-// A call that may not be repeated runs at most once although its box is killed at
-// any moment, callers send it again elsewhere, and the platform loses answers.
+// A call that must not be repeated must run at most once even if its box is killed, the
+// caller retries at another box, and the platform loses responses.
 func TestKeyedCallsRunOnceWhileBoxesDie(t *testing.T) {
 	for _, fences := range []bool{false, true} {
 		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) { keyedCallsWhileBoxesDie(t, fences) })
@@ -102,16 +102,16 @@
 		for key, n := range runs {
 			require.LessOrEqual(t, n, 1, "%s ran %d times", key, n)
 		}
-		require.Greater(t, len(runs), 50, "too few calls ran at all")
+		require.Greater(t, len(runs), 50, "too few calls ran")
 	})
 }
 
-// callUntilDefinite sends a keyed call, and again to the next box while no answer
-// comes or it was not run, as a careful caller does.
+// callUntilDefinite sends a keyed call and retries it at the next box while there is no
+// response or the request was not run.
 func callUntilDefinite(ctx context.Context, bases []string, i int) {
 	h := http.Header{api.HeaderIdempotencyKey: {fmt.Sprint("key-", i)}}
-	for try := range 8 {
-		a, err := Call(ctx, bases[(i+try)%len(bases)], "/x", nil, h)
+	for attempt := range 8 {
+		a, err := Call(ctx, bases[(i+attempt)%len(bases)], "/x", nil, h)
 		if err == nil && a.Outcome != api.OutcomeNotRun {
 			return
 		}
@@ -119,8 +119,7 @@
 	}
 }
 
-// The owner of a shard is killed in mid-burst: callers of the other boxes get
-// whole answers.
+// Killing the owner of a shard must not affect responses to callers of other boxes.
 func TestOwnerKilledInMidBurst(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		owner := f.ownerOf(ctx, t, EngineService)
@@ -139,7 +138,7 @@
 				if err != nil {
 					return err
 				}
-				return whole(a, content)
+				return checkResponse(a, content)
 			})
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -148,14 +147,14 @@
 	})
 }
 
-// gap is the longest time without the start of a request.
-type gap struct {
+// gapRecorder records the longest time between two consecutive calls of record.
+type gapRecorder struct {
 	mu      sync.Mutex
 	last    time.Time
 	longest time.Duration
 }
 
-func (g *gap) note() {
+func (g *gapRecorder) record() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -165,9 +164,9 @@
 	g.last = now
 }
 
-// steady sends a short request each few milliseconds and notes when each gets its
-// first byte, until stop is closed.
-func steady(ctx context.Context, base string, stop <-chan struct{}, g *gap) error {
+// sendSteadily sends a short request every 10 ms until stop is closed, and records each
+// successful response in g.
+func sendSteadily(ctx context.Context, base string, stop <-chan struct{}, g *gapRecorder) error {
 	p := pool.New().WithErrors()
 	for i := 0; ; i++ {
 		select {
@@ -183,24 +182,24 @@
 			if a.Status != http.StatusOK {
 				return fmt.Errorf("call %d: status %d %s", i, a.Status, a.Text)
 			}
-			g.note()
+			g.record()
 			return nil
 		})
 	}
 }
 
-// A shard moves at once on a planned stop, and within the silence that counts as
-// death on a kill. The bounds are generous; the figures are logged.
+// A shard must move immediately on a graceful stop, and after the failure timeout when its
+// owner is killed. The limit is generous, and the longest gap is logged.
 func TestGapInGrantsOnStopAndKill(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		t.Run(fmt.Sprint("kill=", kill), func(t *testing.T) {
 			withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 				owner := f.ownerOf(ctx, t, PlainService)
 				other := (owner + 1) % len(f.Boxes)
-				var g gap
+				var g gapRecorder
 				stop := make(chan struct{})
 				done := make(chan error, 1)
-				go func() { done <- steady(ctx, f.CallerURL(other), stop, &g) }()
+				go func() { done <- sendSteadily(ctx, f.CallerURL(other), stop, &g) }()
 				time.Sleep(300 * time.Millisecond)
 				if kill {
 					f.Boxes[owner].Kill()
@@ -218,8 +217,8 @@
 	}
 }
 
-// A planned stop cuts off nothing: what streams, what waits, and what arrives
-// while the balancer has not noticed.
+// A graceful stop must not interrupt streams, waiting requests, or requests that arrive
+// before the load balancer reacts.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Slots = 4 }, func(ctx context.Context, f *Fleet) {
 		base := f.CallerURL(0)
@@ -231,7 +230,7 @@
 				if err != nil {
 					return err
 				}
-				return whole(a, content)
+				return checkResponse(a, content)
 			})
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -241,21 +240,21 @@
 	})
 }
 
-// A server that leaves gets no new work after a few seconds, whichever source says
-// so, while the platform is away and the owner is replaced.
+// A leaving server must get no new requests after a few seconds, whichever source reports
+// it, even if the platform is down and the owner is replaced.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	sources := map[string]func(ctx context.Context, t *testing.T, f *Fleet){
-		"its own answer": func(_ context.Context, _ *testing.T, f *Fleet) {
+		"engine response": func(_ context.Context, _ *testing.T, f *Fleet) {
 			f.Engines[0].SetFaults(engine.Faults{Leaving: true})
 		},
-		"the platform's list": func(_ context.Context, _ *testing.T, f *Fleet) {
+		"platform box list": func(_ context.Context, _ *testing.T, f *Fleet) {
 			f.Platform.SetBox(objectstore.Box{ID: "engine-1", State: objectstore.BoxLeaving})
-			// The list is read every few seconds; give it the time.
+			// Wait until the boxes have read the list.
 			time.Sleep(3500 * time.Millisecond)
 		},
-		"a plan": func(ctx context.Context, t *testing.T, f *Fleet) {
-			// At the box that is killed next, while the platform goes away: whoever is
-			// told that the plan was accepted can rely on it.
+		"accepted plan": func(ctx context.Context, t *testing.T, f *Fleet) {
+			// The plan is applied at the box that is killed next, while the platform is down: an
+			// accepted plan must not be lost.
 			owner := f.ownerOf(ctx, t, EngineService)
 			_, err := f.Apply(ctx, owner, fmt.Sprintf("[server engine-1]\nservice = %s\nhall = %s\naddress = %s\nslots = %d\nstate = leaving\n", EngineService, Hall, f.addresses[0], f.opts.Slots))
 			require.NoError(t, err)
@@ -273,17 +272,17 @@
 					content := fmt.Sprint("leaving-", i)
 					a, err := Chat(ctx, f.CallerURL(i%2), content, nil)
 					require.NoError(t, err)
-					require.NoError(t, whole(a, content))
+					require.NoError(t, checkResponse(a, content))
 				}
-				require.Equal(t, before, f.Engines[0].Stats().Started, "the leaving server got new work")
+				require.Equal(t, before, f.Engines[0].Stats().Started, "leaving server received new requests")
 			})
 		})
 	}
 }
 
-// While the platform is away serving goes on, a keyed call that may not be
-// repeated is refused at once, a box started beside its peers gets their
-// configuration, and joining again is clean and within the budget of calls.
+// During an outage of the platform requests must be served, keyed calls that must not be
+// repeated must be rejected immediately, and a new box must get the configuration from its
+// peers. Afterwards the fleet must recover within the call budget.
 func TestHoursWithoutThePlatform(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		f.Platform.SetFaults(standin.Faults{Down: true})
@@ -299,10 +298,10 @@
 			content := fmt.Sprint("outage-", i)
 			a, err := Chat(ctx, f.CallerURL(i), content, nil)
 			require.NoError(t, err)
-			require.NoError(t, whole(a, content))
+			require.NoError(t, checkResponse(a, content))
 			a, err = Call(ctx, f.CallerURL(i), "/x", nil, nil)
 			require.NoError(t, err)
-			require.Equal(t, http.StatusOK, a.Status, "an unkeyed call does not need the platform: %s", a.Text)
+			require.Equal(t, http.StatusOK, a.Status, "call without a key failed during the outage: %s", a.Text)
 		}
 		a, err := Call(ctx, f.CallerURL(0), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 		require.NoError(t, err)
@@ -312,7 +311,7 @@
 
 		f.Platform.SetFaults(standin.Faults{})
 		before, _ := f.Platform.Calls()
-		began := time.Now()
+		start := time.Now()
 		var g uint64
 		require.Eventually(t, func() bool {
 			g, err = f.Apply(ctx, 3, "[class extra]\ntier = 2\nfirst-token = 1s\n")
@@ -320,29 +319,29 @@
 		}, 20*time.Second, 50*time.Millisecond)
 		require.NoError(t, f.WaitGeneration(ctx, g))
 		after, denied := f.Platform.Calls()
-		seconds := time.Since(began).Seconds() + 1
+		seconds := time.Since(start).Seconds() + 1
 		require.Zero(t, denied)
 		require.Less(t, float64(after.Reads-before.Reads), callrate.DefaultBudget.ReadsPerSecond*seconds)
 		require.Less(t, float64(after.Writes-before.Writes), callrate.DefaultBudget.WritesPerSecond*seconds)
 		require.Eventually(t, func() bool {
 			a, err := Call(ctx, f.CallerURL(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 			return err == nil && a.Status == http.StatusOK
-		}, 20*time.Second, 100*time.Millisecond, "the refused key can't be used again")
+		}, 20*time.Second, 100*time.Millisecond, "rejected key cannot be used again")
 		require.Equal(t, 1, f.Service.Runs("k"))
 	})
 }
 
-// An accepted plan is in force on every box within seconds, and stays so on a box
-// that was killed and starts again beside a platform restored to an older state.
+// An accepted plan must be in force on every box within seconds, and on a box that starts
+// after the platform was restored to an older state.
 func TestAcceptedPlanIsInForceEverywhere(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		old := f.Platform.Snapshot()
-		began := time.Now()
+		start := time.Now()
 		g, err := f.Apply(ctx, 2, "[class extra]\ntier = 2\nfirst-token = 1s\n")
 		require.NoError(t, err)
 		require.NoError(t, f.WaitGeneration(ctx, g))
-		t.Logf("in force everywhere after %s", time.Since(began))
-		require.Less(t, time.Since(began), 7*time.Second)
+		t.Logf("generation in force on all boxes after %s", time.Since(start))
+		require.Less(t, time.Since(start), 7*time.Second)
 		f.Platform.Restore(old)
 		_, err = f.AddBox()
 		require.NoError(t, err)
--- a/pkg/localfleet/fleet.go
+++ b/pkg/localfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package localfleet runs a whole fleet in one process, on loopback: stand-ins
-// for the platform, engines and a service, and real boxes. The demo and the
-// tests use it.
+// Package localfleet runs a complete fleet in one process on loopback: real boxes with
+// stand-ins for the platform, the engines and a service. It is used by the demo and by
+// tests.
 package localfleet
 
 import (
@@ -23,7 +23,7 @@
 	"headhill.example/headhill/pkg/standin/service"
 )
 
-// Names and keys of the fleet. They guard nothing but stand-ins.
+// Names and keys of the fleet. The keys are not secret.
 const (
 	Operator      = "operator"
 	OperatorToken = "demo-operator-token"
@@ -35,23 +35,23 @@
 	Hall          = "north"
 )
 
-// Options shape a fleet.
+// Options configures a fleet.
 type Options struct {
 	Boxes, Engines, Slots int
-	// Engine shapes the engines.
+	// Engine configures the engines.
 	Engine engine.Options
-	// ChecksFences says whether the plain service checks fences.
+	// ChecksFences makes the plain service check fences.
 	ChecksFences bool
-	// Log receives the boxes' logs.
+	// Log receives the log output of the boxes.
 	Log io.Writer
 	// LogLevel and LogOutput are as in the settings.
 	LogLevel  string
 	LogOutput []string
-	// ModifySettings adjusts the settings of each box.
+	// ModifySettings, if set, modifies the settings of each box.
 	ModifySettings func(*settings.Settings)
 }
 
-// DefaultOptions returns a fleet of two boxes and two engines.
+// DefaultOptions returns the options of a fleet with two boxes and two engines.
 func DefaultOptions() Options {
 	return Options{Boxes: 2, Engines: 2, Slots: 8, Engine: engine.DefaultOptions(), Log: io.Discard, LogLevel: "info"}
 }
@@ -71,7 +71,7 @@
 	servers   []*http.Server
 }
 
-// serve runs a handler on a port of its own and returns its address.
+// serve serves h on a new port and returns its address.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,8 +83,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Start runs a fleet, configures it through the intent API, and returns when
-// every box is ready and has the configuration in force.
+// Start starts a fleet, configures it through the intent API, and returns once every box
+// is ready and has the configuration in force.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{opts: o, Platform: standin.New(), Service: service.New(o.ChecksFences)}
 	if err := f.startStandins(); err != nil {
@@ -123,10 +123,10 @@
 	return err
 }
 
-// AddBox starts one more box and puts it on the platform's box list.
+// AddBox starts another box and adds it to the platform's box list.
 func (f *Fleet) AddBox() (*box.Box, error) { return f.StartBox(fmt.Sprintf("box-%d", len(f.Boxes)+1)) }
 
-// StartBox starts a box of this name.
+// StartBox starts a box with the given name and adds it to the platform's box list.
 func (f *Fleet) StartBox(name string) (*box.Box, error) {
 	s := settings.Default()
 	s.Box = settings.Box{ID: name, Hall: Hall, Region: "default"}
@@ -155,7 +155,7 @@
 // BoxName returns the name of box i.
 func (f *Fleet) BoxName(i int) string { return f.names[i] }
 
-// Intent returns the intent that the fleet is configured with.
+// Intent returns the intent with which the fleet is configured.
 func (f *Fleet) Intent() string {
 	var b strings.Builder
 	b.WriteString(baseIntent)
@@ -171,7 +171,7 @@
 	return b.String()
 }
 
-// baseIntent ends in the organisation's section, whose key is added.
+// baseIntent must end in the organisation's section, to which Intent adds the key.
 const baseIntent = `
 [class counter]
 tier = 1
@@ -200,15 +200,15 @@
 class = counter
 `
 
-// AdminClient returns an operator's client of box i.
+// AdminClient returns an operator's client for box i.
 func (f *Fleet) AdminClient(i int) *adminclient.Client {
 	return adminclient.New("http://"+f.Boxes[i].AdminAddr(), OperatorToken)
 }
 
-// CallerURL is the base URL of box i for callers.
+// CallerURL returns the base URL of box i for callers.
 func (f *Fleet) CallerURL(i int) string { return "http://" + f.Boxes[i].CallerAddr() }
 
-// Apply plans and confirms an intent at box i and returns its generation.
+// Apply plans and confirms an intent at box i and returns the new generation.
 func (f *Fleet) Apply(ctx context.Context, i int, text string) (uint64, error) {
 	p, err := f.AdminClient(i).Plan(ctx, text)
 	if err != nil {
@@ -228,16 +228,16 @@
 	return f.WaitGeneration(ctx, g)
 }
 
-// NotReadyError says what a fleet still waits for.
+// NotReadyError is returned if a fleet did not reach the expected state in time.
 type NotReadyError struct{ What string }
 
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("the fleet is not ready in time: %s: look at its logs", e.What)
+	return fmt.Sprintf("fleet not ready in time: %s; check its logs", e.What)
 }
 
 // WaitReady waits until every box is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
-	return until(ctx, "boxes not ready", func() bool {
+	return waitUntil(ctx, "boxes not ready", func() bool {
 		for _, b := range f.Boxes {
 			if !b.Ready() {
 				return false
@@ -247,9 +247,9 @@
 	})
 }
 
-// WaitGeneration waits until every box has a generation in force.
+// WaitGeneration waits until every box has at least generation g in force.
 func (f *Fleet) WaitGeneration(ctx context.Context, g uint64) error {
-	return until(ctx, fmt.Sprintf("generation %d not in force", g), func() bool {
+	return waitUntil(ctx, fmt.Sprintf("generation %d not in force", g), func() bool {
 		for _, b := range f.Boxes {
 			if b.Generation() < g {
 				return false
@@ -259,7 +259,7 @@
 	})
 }
 
-func until(ctx context.Context, what string, ok func() bool) error {
+func waitUntil(ctx context.Context, what string, ok func() bool) error {
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
 	for !ok() {
@@ -272,21 +272,21 @@
 	return nil
 }
 
-// KillBox kills box i and takes it off the box list. The others keep their numbers
-// but for those after it.
+// KillBox kills box i and removes it from the box list. The indices of later boxes decrease
+// by one.
 func (f *Fleet) KillBox(i int) {
 	f.Boxes[i].Kill()
 	f.Platform.RemoveBox(f.names[i])
 	f.RemoveBox(i)
 }
 
-// RemoveBox takes a box that ended by itself off the fleet's own list.
+// RemoveBox removes box i, which has already stopped, from the fleet.
 func (f *Fleet) RemoveBox(i int) {
 	f.Boxes = append(f.Boxes[:i:i], f.Boxes[i+1:]...)
 	f.names = append(f.names[:i:i], f.names[i+1:]...)
 }
 
-// Close ends everything at once.
+// Close kills all boxes and stops the stand-ins.
 func (f *Fleet) Close() {
 	for _, b := range f.Boxes {
 		b.Kill()
--- a/pkg/localfleet/fleet_test.go
+++ b/pkg/localfleet/fleet_test.go
@@ -17,7 +17,7 @@
 	"headhill.example/headhill/pkg/standin/engine"
 )
 
-// testWriter drops what a dying box still logs after its test ended.
+// testWriter discards what a killed box logs after its test has ended.
 type testWriter struct {
 	mu     sync.Mutex
 	w      io.Writer
@@ -39,7 +39,7 @@
 	w.closed = true
 }
 
-// withFleet runs fn against a fleet that is ready.
+// withFleet runs fn with a fleet that is ready.
 func withFleet(t *testing.T, change func(*Options), fn func(ctx context.Context, f *Fleet)) {
 	t.Helper()
 	o := DefaultOptions()
@@ -58,7 +58,7 @@
 	fn(ctx, f)
 }
 
-func TestStreamedAnswerArrivesWhole(t *testing.T) {
+func TestStreamedResponseIsComplete(t *testing.T) {
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		for i := range f.Boxes {
 			content := fmt.Sprintf("caller at box %d", i)
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestMetricsAreShownByClass(t *testing.T) {
+func TestMetricsAreLabelledByClass(t *testing.T) {
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		_, err := Chat(ctx, f.CallerURL(0), "measured", nil)
 		require.NoError(t, err)
--- a/pkg/localfleet/notrun_test.go
+++ b/pkg/localfleet/notrun_test.go
@@ -18,35 +18,35 @@
 	"headhill.example/headhill/pkg/settings"
 )
 
-// rawServer is a backend server that misbehaves at one position of the exchange.
-// It counts the requests that it read whole: those may have run.
+// rawServer is a backend server that fails at one point of the exchange. It counts the
+// requests that it read completely, as those may have run.
 type rawServer struct {
 	address string
 	runs    atomic.Int64
 }
 
-// position is where an exchange breaks.
-type position string
+// breakPoint is the point at which an exchange fails.
+type breakPoint string
 
 const (
-	refuseConnection position = "connection refused"
-	closeOnAccept    position = "closed before the request"
-	closeInRequest   position = "closed in the middle of the request"
-	closeAfter       position = "closed after the request"
-	closeInHeader    position = "closed in the answer's header"
-	closeInBody      position = "closed in the answer's body"
-	silence          position = "silence"
-	status429        position = "429"
-	status503        position = "503"
-	status500        position = "500"
+	connectionRefused     breakPoint = "connection refused"
+	closeOnAccept         breakPoint = "closed before the request"
+	closeInRequest        breakPoint = "closed within the request"
+	closeAfterRequest     breakPoint = "closed after the request"
+	closeInResponseHeader breakPoint = "closed in the response header"
+	closeInResponseBody   breakPoint = "closed in the response body"
+	noResponse            breakPoint = "no response"
+	status429             breakPoint = "429"
+	status503             breakPoint = "503"
+	status500             breakPoint = "500"
 )
 
-func newRawServer(t *testing.T, p position) *rawServer {
+func newRawServer(t *testing.T, p breakPoint) *rawServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &rawServer{address: ln.Addr().String()}
-	if p == refuseConnection {
+	if p == connectionRefused {
 		require.NoError(t, ln.Close())
 		return s
 	}
@@ -63,7 +63,7 @@
 	return s
 }
 
-func (s *rawServer) serve(ctx context.Context, c net.Conn, p position) {
+func (s *rawServer) serve(ctx context.Context, c net.Conn, p breakPoint) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	if p == closeOnAccept {
@@ -86,26 +86,26 @@
 		s.runs.Add(1)
 	}
 	switch p {
-	case closeInHeader:
+	case closeInResponseHeader:
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le")
-	case closeInBody:
+	case closeInResponseBody:
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
-	case silence:
+	case noResponse:
 		<-ctx.Done()
 	case status429, status503, status500:
 		fmt.Fprintf(c, "HTTP/1.1 %s No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", p)
 	}
 }
 
-// When a caller is told that a request was not run, it was not run; and one that
-// may not be repeated runs at most once, wherever the exchange breaks.
+// The outcome not_run must be true, and a request that must not be repeated must run at
+// most once, wherever the exchange fails.
 func TestNotRunIsTrue(t *testing.T) {
 	change := func(o *Options) {
 		o.ModifySettings = func(s *settings.Settings) { s.Limits.AnswerTimeout = 700 * time.Millisecond }
 	}
-	positions := []position{
-		refuseConnection, closeOnAccept, closeInRequest, closeAfter, closeInHeader,
-		closeInBody, silence, status429, status503, status500,
+	positions := []breakPoint{
+		connectionRefused, closeOnAccept, closeInRequest, closeAfterRequest, closeInResponseHeader,
+		closeInResponseBody, noResponse, status429, status503, status500,
 	}
 	withFleet(t, change, func(ctx context.Context, f *Fleet) {
 		intent := "[class counter]\ntier = 1\nfirst-token = 1.3s\ndeadline = 2s\nfloor = 5%\n"
@@ -123,7 +123,7 @@
 				for n := range 6 {
 					repeatable := []string{"no", "yes"}[n%2]
 					base := fmt.Sprintf("%s/services/raw-%d/x", f.CallerURL(n/2%2), i)
-					if err := brokenExchange(ctx, s, base, repeatable); err != nil {
+					if err := checkBrokenExchange(ctx, s, base, repeatable); err != nil {
 						return fmt.Errorf("%s, repeatable %s: %w", positions[i], repeatable, err)
 					}
 				}
@@ -134,9 +134,9 @@
 	})
 }
 
-// brokenExchange sends one request and compares what its caller is told with what
-// the server counted.
-func brokenExchange(ctx context.Context, s *rawServer, url, repeatable string) error {
+// checkBrokenExchange sends one request and compares the outcome that the caller received
+// with the runs that the server counted.
+func checkBrokenExchange(ctx context.Context, s *rawServer, url, repeatable string) error {
 	before := s.runs.Load()
 	a, err := do(ctx, http.MethodPost, url, []byte("body"), http.Header{api.HeaderRepeatable: {repeatable}})
 	ran := s.runs.Load() - before
@@ -144,16 +144,16 @@
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case repeatable == "no" && ran > 1:
-		return fmt.Errorf("ran %d times", ran)
+		return fmt.Errorf("request ran %d times", ran)
 	case err != nil:
-		// Half an answer: its caller sees that it is not whole.
+		// Truncated response: the caller can detect that.
 		return nil
 	case a.Outcome == api.OutcomeNotRun && ran > 0:
-		return fmt.Errorf("told not run, ran %d times: %s", ran, a.Text)
+		return fmt.Errorf("outcome is not run, but the request ran %d times: %s", ran, a.Text)
 	case a.Outcome == api.OutcomeNotRun && a.Header.Get("Retry-After") == "":
-		return fmt.Errorf("not told when to come back: %s", a.Text)
+		return fmt.Errorf("missing Retry-After header: %s", a.Text)
 	case a.Outcome == "":
-		return fmt.Errorf("not told how it ended: status %d %s", a.Status, a.Text)
+		return fmt.Errorf("missing outcome: status %d %s", a.Status, a.Text)
 	}
 	return nil
 }
--- a/pkg/localfleet/path_bench_test.go
+++ b/pkg/localfleet/path_bench_test.go
@@ -14,8 +14,8 @@
 	"headhill.example/headhill/pkg/backend"
 )
 
-// instantEngine streams a fixed number of tokens without a pause, so that what is
-// measured is the path and not the engine.
+// instantEngine streams a fixed number of tokens without delay, so that the benchmark
+// measures the overhead of the box.
 func instantEngine(tokens int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == backend.LoadPath {
@@ -38,7 +38,7 @@
 	})
 }
 
-// withInstantEngine adds an instant engine behind a model of its own.
+// withInstantEngine starts a fleet with an instant engine that serves its own model.
 func withInstantEngine(b *testing.B, tokens int, fn func(direct, through string)) {
 	ctx, cancel := context.WithTimeout(b.Context(), 5*time.Minute)
 	defer cancel()
@@ -78,36 +78,36 @@
 	}
 }
 
-// BenchmarkPath compares a call through a box with the same call to the engine
-// itself, in one run: one caller after the other, answers of 1 and 500 tokens.
+// BenchmarkPath compares sequential calls through a box with the same calls sent directly
+// to the engine, for responses of 1 and 500 tokens.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 500} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			withInstantEngine(b, tokens, func(direct, through string) {
 				benchCall(b, direct)
 				benchCall(b, through)
-				var spent [2]time.Duration
+				var elapsed [2]time.Duration
 				b.ResetTimer()
 				for range b.N {
 					for i, base := range []string{direct, through} {
-						began := time.Now()
+						start := time.Now()
 						benchCall(b, base)
-						spent[i] += time.Since(began)
+						elapsed[i] += time.Since(start)
 					}
 				}
 				b.StopTimer()
 				n := float64(b.N)
-				b.ReportMetric(float64(spent[0].Microseconds())/n, "direct-µs")
-				b.ReportMetric(float64(spent[1].Microseconds())/n, "through-µs")
-				b.ReportMetric(float64(spent[1])/float64(spent[0]), "ratio")
-				b.ReportMetric(float64((spent[1]-spent[0]).Microseconds())/n/float64(tokens), "added-µs/token")
+				b.ReportMetric(float64(elapsed[0].Microseconds())/n, "direct-µs")
+				b.ReportMetric(float64(elapsed[1].Microseconds())/n, "through-µs")
+				b.ReportMetric(float64(elapsed[1])/float64(elapsed[0]), "ratio")
+				b.ReportMetric(float64((elapsed[1]-elapsed[0]).Microseconds())/n/float64(tokens), "added-µs/token")
 			})
 		})
 	}
 }
 
-// BenchmarkThroughput drives one box with many callers at once. Caller, box and
-// engine share the process, so requests a second a core are a lower bound.
+// BenchmarkThroughput sends concurrent calls to one box. Callers, box and engine share the
+// process, so the requests per second per core are a lower bound.
 func BenchmarkThroughput(b *testing.B) {
 	withInstantEngine(b, 1, func(_, through string) {
 		b.SetParallelism(16)
--- a/pkg/localfleet/security_test.go
+++ b/pkg/localfleet/security_test.go
@@ -32,7 +32,7 @@
 	"headhill.example/headhill/pkg/settings"
 )
 
-// authority signs boxes' certificates.
+// authority issues certificates for boxes.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -64,7 +64,7 @@
 	return path
 }
 
-// issue writes a box's certificate and key and returns their paths.
+// issue writes a box's certificate and key and returns peer settings that use them.
 func (a *authority) issue(t *testing.T, box string) settings.Peers {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -87,8 +87,8 @@
 	}
 }
 
-// link tries to open a link to a box under an ID.
-func link(ctx context.Context, creds credentials.TransportCredentials, address, id string) error {
+// openLink tries to open a link to the box at address, with the given box ID.
+func openLink(ctx context.Context, creds credentials.TransportCredentials, address, id string) error {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 		for i := range f.Boxes {
 			a, err := Chat(ctx, f.CallerURL(i), "over tls", nil)
 			require.NoError(t, err)
-			require.NoError(t, whole(a, "over tls"))
+			require.NoError(t, checkResponse(a, "over tls"))
 		}
 		address := f.Boxes[0].PeerAddr()
 		creds := func(p settings.Peers) credentials.TransportCredentials {
@@ -131,10 +131,10 @@
 			pool.AddCert(ours.cert)
 			return credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: f.BoxName(0)})
 		}
-		require.NoError(t, link(ctx, creds(ours.issue(t, "box-9")), address, "box-9"))
-		require.ErrorContains(t, link(ctx, creds(ours.issue(t, "box-9")), address, f.BoxName(1)), "does not name box")
-		require.Error(t, link(ctx, creds(others.issue(t, f.BoxName(1))), address, f.BoxName(1)), "signed by other roots")
-		require.Error(t, link(ctx, insecure.NewCredentials(), address, f.BoxName(1)), "no certificate")
+		require.NoError(t, openLink(ctx, creds(ours.issue(t, "box-9")), address, "box-9"))
+		require.ErrorContains(t, openLink(ctx, creds(ours.issue(t, "box-9")), address, f.BoxName(1)), "does not name box")
+		require.Error(t, openLink(ctx, creds(others.issue(t, f.BoxName(1))), address, f.BoxName(1)), "signed by other roots")
+		require.Error(t, openLink(ctx, insecure.NewCredentials(), address, f.BoxName(1)), "no certificate")
 	})
 }
 
@@ -158,40 +158,41 @@
 			name, body string
 			header     http.Header
 			status     int
-			says       string
+			message    string
 		}{
-			{"no such key", good, http.Header{"Authorization": {"Bearer nobody"}}, 401, "API key"},
+			{"unknown key", good, http.Header{"Authorization": {"Bearer nobody"}}, 401, "API key"},
 			{"operator's token", good, http.Header{"Authorization": {"Bearer " + OperatorToken}}, 401, "API key"},
-			{"no such class", good, http.Header{api.HeaderClass: {"kings"}}, 400, "kings"},
+			{"unknown class", good, http.Header{api.HeaderClass: {"no-such-class"}}, 400, "no-such-class"},
 			{"bad repeatable", good, http.Header{api.HeaderRepeatable: {"maybe"}}, 400, "yes or no"},
-			{"no json", "hello", nil, 400, "JSON"},
+			{"invalid JSON", "hello", nil, 400, "JSON"},
 			{"no messages", `{"model":"m"}`, nil, 400, "messages"},
-			{"no such model", strings.Replace(good, Model, "other", 1), nil, 404, "other"},
+			{"unknown model", strings.Replace(good, Model, "other", 1), nil, 404, "other"},
 			{"too large", `{"model":"` + strings.Repeat("x", 100<<10), nil, 413, "limits"},
 			{"long key", good, http.Header{api.HeaderIdempotencyKey: {strings.Repeat("k", 300)}}, 400, "shorten"},
 		} {
 			a := call(c.body, c.header)
 			require.Equal(t, c.status, a.Status, "%s: %s", c.name, a.Text)
 			require.Equal(t, api.OutcomeNotRun, a.Outcome, c.name)
-			require.Contains(t, a.Error.Message, c.says, c.name)
+			require.Contains(t, a.Error.Message, c.message, c.name)
 		}
 		for _, path := range []string{"/v1/plan", "/v1/confirm", "/v1/config", "/metrics", "/v1/status"} {
 			a, err := do(ctx, http.MethodGet, f.CallerURL(0)+path, nil, http.Header{"Authorization": {"Bearer " + OperatorToken}})
 			require.NoError(t, err)
-			require.Equal(t, http.StatusNotFound, a.Status, "%s on the callers' port", path)
+			require.Equal(t, http.StatusNotFound, a.Status, "%s is served on the caller port", path)
 		}
 		_, err := adminclient.New("http://"+f.Boxes[0].AdminAddr(), CallerKey).Config(ctx)
 		require.ErrorContains(t, err, "no operator has this token")
 		for _, e := range f.Engines {
-			require.Zero(t, e.Stats().Started, "a refused request ran")
+			require.Zero(t, e.Stats().Started, "a rejected request ran")
 		}
-		slowCallers(t, f.Boxes[0].CallerAddr())
-		smuggling(t, f.Boxes[0].CallerAddr())
+		checkSlowCallers(t, f.Boxes[0].CallerAddr())
+		checkSmuggling(t, f.Boxes[0].CallerAddr())
 	})
 }
 
-// slowCallers send their header or body too slowly and are cut off.
-func slowCallers(t *testing.T, address string) {
+// checkSlowCallers checks that callers that send their header or body too slowly are
+// disconnected.
+func checkSlowCallers(t *testing.T, address string) {
 	t.Helper()
 	for _, start := range []string{
 		"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Slow: ",
@@ -203,13 +204,13 @@
 		require.NoError(t, err)
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 		_, err = io.Copy(io.Discard, c)
-		require.NoError(t, err, "a slow caller was not cut off")
+		require.NoError(t, err, "slow caller was not disconnected")
 		c.Close()
 	}
 }
 
-// smuggling sends requests whose length is ambiguous: none may be taken.
-func smuggling(t *testing.T, address string) {
+// checkSmuggling checks that requests of ambiguous length are rejected.
+func checkSmuggling(t *testing.T, address string) {
 	t.Helper()
 	for _, headers := range []string{
 		"Content-Length: 5\r\nContent-Length: 6",
@@ -223,7 +224,7 @@
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		require.GreaterOrEqual(t, r.StatusCode, 400, headers)
-		require.NotEqual(t, http.StatusUnauthorized, r.StatusCode, "%s was taken as a request", headers)
+		require.NotEqual(t, http.StatusUnauthorized, r.StatusCode, "request with %s was accepted", headers)
 		c.Close()
 	}
 }
