--- a/pkg/localfleet/call.go
+++ b/pkg/localfleet/call.go
@@ -71,20 +71,20 @@
 var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func readResponse(resp *http.Response) (Response, error) {
-	a := Response{Status: resp.StatusCode, Header: resp.Header}
+	r := Response{Status: resp.StatusCode, Header: resp.Header}
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
-		err := a.readStream(resp.Body)
-		a.Outcome = api.Outcome(resp.Trailer.Get(api.HeaderOutcome))
-		return a, err
+		err := r.readStream(resp.Body)
+		r.Outcome = api.Outcome(resp.Trailer.Get(api.HeaderOutcome))
+		return r, err
 	}
 	data, err := io.ReadAll(resp.Body)
-	a.Text = string(data)
-	a.Outcome = api.Outcome(resp.Header.Get(api.HeaderOutcome))
+	r.Text = string(data)
+	r.Outcome = api.Outcome(resp.Header.Get(api.HeaderOutcome))
 	var e api.ErrorBody
 	if json.Unmarshal(data, &e) == nil && e.Error.Type != "" {
-		a.Error = &e.Error
+		r.Error = &e.Error
 	}
-	return a, err
+	return r, err
 }
 
 // eventBody holds the fields of an event that the caller uses.
@@ -97,10 +97,10 @@
 	Error *api.Error `json:"error"`
 }
 
-func (a *Response) readStream(body io.Reader) error {
+func (r *Response) readStream(body io.Reader) error {
 	events := sse.NewReader(body)
 	var text strings.Builder
-	defer func() { a.Text = text.String() }()
+	defer func() { r.Text = text.String() }()
 	for {
 		data, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -109,9 +109,9 @@
 		if err != nil {
 			return err
 		}
-		a.Events = append(a.Events, append([]byte(nil), data...))
+		r.Events = append(r.Events, append([]byte(nil), data...))
 		if string(data) == "[DONE]" {
-			a.Complete = true
+			r.Complete = true
 			continue
 		}
 		var e eventBody
@@ -119,7 +119,7 @@
 			return fmt.Errorf("event %q: %w", data, err)
 		}
 		if e.Error != nil {
-			a.Error = e.Error
+			r.Error = e.Error
 		}
 		for _, c := range e.Choices {
 			text.WriteString(c.Delta.Content)
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -67,12 +67,12 @@
 }
 
 // checkResponse returns an error unless a is the complete response to content.
-func checkResponse(a Response, content string) error {
-	want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-	if a.Complete && a.Text == want && a.Outcome == api.OutcomeDone {
+func checkResponse(resp Response, content string) error {
+	want := strings.Join(engine.Answer(content, strings.Count(resp.Text, " ")), "")
+	if resp.Complete && resp.Text == want && resp.Outcome == api.OutcomeDone {
 		return nil
 	}
-	return fmt.Errorf("%s: status %d, outcome %q, text %q, error %+v", content, a.Status, a.Outcome, a.Text, a.Error)
+	return fmt.Errorf("%s: status %d, outcome %q, text %q, error %+v", content, resp.Status, resp.Outcome, resp.Text, resp.Error)
 }
 
 // A call that must not be repeated must run at most once even if its box is killed, the
@@ -111,8 +111,8 @@
 func callUntilDefinite(ctx context.Context, bases []string, i int) {
 	h := http.Header{api.HeaderIdempotencyKey: {fmt.Sprint("key-", i)}}
 	for attempt := range 8 {
-		a, err := Call(ctx, bases[(i+attempt)%len(bases)], "/x", nil, h)
-		if err == nil && a.Outcome != api.OutcomeNotRun {
+		resp, err := Call(ctx, bases[(i+attempt)%len(bases)], "/x", nil, h)
+		if err == nil && resp.Outcome != api.OutcomeNotRun {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -134,11 +134,11 @@
 			p.Go(func() error {
 				time.Sleep(time.Duration(i) * 4 * time.Millisecond)
 				content := fmt.Sprint("burst-", i)
-				a, err := Chat(ctx, bases[i%len(bases)], content, nil)
+				resp, err := Chat(ctx, bases[i%len(bases)], content, nil)
 				if err != nil {
 					return err
 				}
-				return checkResponse(a, content)
+				return checkResponse(resp, content)
 			})
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -175,12 +175,12 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 		p.Go(func() error {
-			a, err := Call(ctx, base, "/x", nil, nil)
+			resp, err := Call(ctx, base, "/x", nil, nil)
 			if err != nil {
 				return err
 			}
-			if a.Status != http.StatusOK {
-				return fmt.Errorf("call %d: status %d %s", i, a.Status, a.Text)
+			if resp.Status != http.StatusOK {
+				return fmt.Errorf("call %d: status %d %s", i, resp.Status, resp.Text)
 			}
 			g.record()
 			return nil
@@ -226,11 +226,11 @@
 		for i := range 60 {
 			p.Go(func() error {
 				content := fmt.Sprint("stop-", i)
-				a, err := Chat(ctx, base, content, nil)
+				resp, err := Chat(ctx, base, content, nil)
 				if err != nil {
 					return err
 				}
-				return checkResponse(a, content)
+				return checkResponse(resp, content)
 			})
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -270,9 +270,9 @@
 				before := f.Engines[0].Stats().Started
 				for i := range 20 {
 					content := fmt.Sprint("leaving-", i)
-					a, err := Chat(ctx, f.CallerURL(i%2), content, nil)
+					resp, err := Chat(ctx, f.CallerURL(i%2), content, nil)
 					require.NoError(t, err)
-					require.NoError(t, checkResponse(a, content))
+					require.NoError(t, checkResponse(resp, content))
 				}
 				require.Equal(t, before, f.Engines[0].Stats().Started, "leaving server received new requests")
 			})
@@ -296,17 +296,17 @@
 		}
 		for i := range f.Boxes {
 			content := fmt.Sprint("outage-", i)
-			a, err := Chat(ctx, f.CallerURL(i), content, nil)
+			resp, err := Chat(ctx, f.CallerURL(i), content, nil)
 			require.NoError(t, err)
-			require.NoError(t, checkResponse(a, content))
-			a, err = Call(ctx, f.CallerURL(i), "/x", nil, nil)
+			require.NoError(t, checkResponse(resp, content))
+			resp, err = Call(ctx, f.CallerURL(i), "/x", nil, nil)
 			require.NoError(t, err)
-			require.Equal(t, http.StatusOK, a.Status, "call without a key failed during the outage: %s", a.Text)
+			require.Equal(t, http.StatusOK, resp.Status, "call without a key failed during the outage: %s", resp.Text)
 		}
-		a, err := Call(ctx, f.CallerURL(0), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
+		resp, err := Call(ctx, f.CallerURL(0), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
 		require.NoError(t, err)
-		require.Equal(t, api.OutcomeNotRun, a.Outcome)
-		require.NotEmpty(t, a.Header.Get("Retry-After"))
+		require.Equal(t, api.OutcomeNotRun, resp.Outcome)
+		require.NotEmpty(t, resp.Header.Get("Retry-After"))
 		require.Zero(t, f.Service.Runs("k"))
 
 		f.Platform.SetFaults(standin.Faults{})
@@ -324,8 +324,8 @@
 		require.Less(t, float64(after.Reads-before.Reads), callrate.DefaultBudget.ReadsPerSecond*seconds)
 		require.Less(t, float64(after.Writes-before.Writes), callrate.DefaultBudget.WritesPerSecond*seconds)
 		require.Eventually(t, func() bool {
-			a, err := Call(ctx, f.CallerURL(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
-			return err == nil && a.Status == http.StatusOK
+			resp, err := Call(ctx, f.CallerURL(1), "/x", nil, http.Header{api.HeaderIdempotencyKey: {"k"}})
+			return err == nil && resp.Status == http.StatusOK
 		}, 20*time.Second, 100*time.Millisecond, "rejected key cannot be used again")
 		require.Equal(t, 1, f.Service.Runs("k"))
 	})
--- a/pkg/localfleet/fleet_test.go
+++ b/pkg/localfleet/fleet_test.go
@@ -62,13 +62,13 @@
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		for i := range f.Boxes {
 			content := fmt.Sprintf("caller at box %d", i)
-			a, err := Chat(ctx, f.CallerURL(i), content, nil)
+			resp, err := Chat(ctx, f.CallerURL(i), content, nil)
 			require.NoError(t, err)
-			require.Equal(t, http.StatusOK, a.Status, a.Text)
-			require.True(t, a.Complete)
-			require.Equal(t, api.OutcomeDone, a.Outcome)
-			n := strings.Count(a.Text, " ")
-			require.Equal(t, strings.Join(engine.Answer(content, n), ""), a.Text)
+			require.Equal(t, http.StatusOK, resp.Status, resp.Text)
+			require.True(t, resp.Complete)
+			require.Equal(t, api.OutcomeDone, resp.Outcome)
+			n := strings.Count(resp.Text, " ")
+			require.Equal(t, strings.Join(engine.Answer(content, n), ""), resp.Text)
 		}
 	})
 }
@@ -76,10 +76,10 @@
 func TestPlainCallRunsOnce(t *testing.T) {
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		h := http.Header{api.HeaderIdempotencyKey: {"call-1"}}
-		a, err := Call(ctx, f.CallerURL(0), "/activate?x=1", []byte("paper"), h)
+		resp, err := Call(ctx, f.CallerURL(0), "/activate?x=1", []byte("paper"), h)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusOK, a.Status, a.Text)
-		require.Equal(t, "POST /activate?x=1 paper", a.Text)
+		require.Equal(t, http.StatusOK, resp.Status, resp.Text)
+		require.Equal(t, "POST /activate?x=1 paper", resp.Text)
 		require.Equal(t, 1, f.Service.Runs("call-1"))
 		again, err := Call(ctx, f.CallerURL(1), "/activate?x=1", []byte("paper"), h)
 		require.NoError(t, err)
@@ -95,13 +95,13 @@
 		for i := range 1000 {
 			p.Go(func() error {
 				content := fmt.Sprintf("caller-%d", i)
-				a, err := Chat(ctx, f.CallerURL(i%len(f.Boxes)), content, nil)
+				resp, err := Chat(ctx, f.CallerURL(i%len(f.Boxes)), content, nil)
 				if err != nil {
 					return err
 				}
-				want := strings.Join(engine.Answer(content, strings.Count(a.Text, " ")), "")
-				if !a.Complete || a.Text != want {
-					return fmt.Errorf("%s got status %d, %q", content, a.Status, a.Text)
+				want := strings.Join(engine.Answer(content, strings.Count(resp.Text, " ")), "")
+				if !resp.Complete || resp.Text != want {
+					return fmt.Errorf("%s got status %d, %q", content, resp.Status, resp.Text)
 				}
 				return nil
 			})
@@ -114,7 +114,7 @@
 	withFleet(t, nil, func(ctx context.Context, f *Fleet) {
 		_, err := Chat(ctx, f.CallerURL(0), "measured", nil)
 		require.NoError(t, err)
-		a, err := do(ctx, http.MethodGet, "http://"+f.Boxes[0].AdminAddr()+"/metrics", nil, nil)
+		resp, err := do(ctx, http.MethodGet, "http://"+f.Boxes[0].AdminAddr()+"/metrics", nil, nil)
 		require.NoError(t, err)
 		for _, want := range []string{
 			`headhill_first_token_seconds_count{class="counter"} 1`,
@@ -125,7 +125,7 @@
 			`headhill_generation{box="box-1"} 1`,
 			`headhill_platform_calls{kind="read"}`,
 		} {
-			require.Contains(t, a.Text, want)
+			require.Contains(t, resp.Text, want)
 		}
 	})
 }
--- a/pkg/localfleet/notrun_test.go
+++ b/pkg/localfleet/notrun_test.go
@@ -138,7 +138,7 @@
 // with the runs that the server counted.
 func checkBrokenExchange(ctx context.Context, s *rawServer, url, repeatable string) error {
 	before := s.runs.Load()
-	a, err := do(ctx, http.MethodPost, url, []byte("body"), http.Header{api.HeaderRepeatable: {repeatable}})
+	resp, err := do(ctx, http.MethodPost, url, []byte("body"), http.Header{api.HeaderRepeatable: {repeatable}})
 	ran := s.runs.Load() - before
 	switch {
 	case ctx.Err() != nil:
@@ -148,12 +148,12 @@
 	case err != nil:
 		// Truncated response: the caller can detect that.
 		return nil
-	case a.Outcome == api.OutcomeNotRun && ran > 0:
-		return fmt.Errorf("outcome is not run, but the request ran %d times: %s", ran, a.Text)
-	case a.Outcome == api.OutcomeNotRun && a.Header.Get("Retry-After") == "":
-		return fmt.Errorf("missing Retry-After header: %s", a.Text)
-	case a.Outcome == "":
-		return fmt.Errorf("missing outcome: status %d %s", a.Status, a.Text)
+	case resp.Outcome == api.OutcomeNotRun && ran > 0:
+		return fmt.Errorf("outcome is not run, but the request ran %d times: %s", ran, resp.Text)
+	case resp.Outcome == api.OutcomeNotRun && resp.Header.Get("Retry-After") == "":
+		return fmt.Errorf("missing Retry-After header: %s", resp.Text)
+	case resp.Outcome == "":
+		return fmt.Errorf("missing outcome: status %d %s", resp.Status, resp.Text)
 	}
 	return nil
 }
--- a/pkg/localfleet/security_test.go
+++ b/pkg/localfleet/security_test.go
@@ -119,9 +119,9 @@
 	}
 	withFleet(t, change, func(ctx context.Context, f *Fleet) {
 		for i := range f.Boxes {
-			a, err := Chat(ctx, f.CallerURL(i), "over tls", nil)
+			resp, err := Chat(ctx, f.CallerURL(i), "over tls", nil)
 			require.NoError(t, err)
-			require.NoError(t, checkResponse(a, "over tls"))
+			require.NoError(t, checkResponse(resp, "over tls"))
 		}
 		address := f.Boxes[0].PeerAddr()
 		creds := func(p settings.Peers) credentials.TransportCredentials {
@@ -149,9 +149,9 @@
 	}
 	withFleet(t, change, func(ctx context.Context, f *Fleet) {
 		call := func(body string, h http.Header) Response {
-			a, err := do(ctx, http.MethodPost, f.CallerURL(0)+"/v1/chat/completions", []byte(body), h)
+			resp, err := do(ctx, http.MethodPost, f.CallerURL(0)+"/v1/chat/completions", []byte(body), h)
 			require.NoError(t, err)
-			return a
+			return resp
 		}
 		good := `{"model":"` + Model + `","messages":[{"role":"user","content":"x"}]}`
 		for _, c := range []struct {
@@ -170,15 +170,15 @@
 			{"too large", `{"model":"` + strings.Repeat("x", 100<<10), nil, 413, "limits"},
 			{"long key", good, http.Header{api.HeaderIdempotencyKey: {strings.Repeat("k", 300)}}, 400, "shorten"},
 		} {
-			a := call(c.body, c.header)
-			require.Equal(t, c.status, a.Status, "%s: %s", c.name, a.Text)
-			require.Equal(t, api.OutcomeNotRun, a.Outcome, c.name)
-			require.Contains(t, a.Error.Message, c.message, c.name)
+			resp := call(c.body, c.header)
+			require.Equal(t, c.status, resp.Status, "%s: %s", c.name, resp.Text)
+			require.Equal(t, api.OutcomeNotRun, resp.Outcome, c.name)
+			require.Contains(t, resp.Error.Message, c.message, c.name)
 		}
 		for _, path := range []string{"/v1/plan", "/v1/confirm", "/v1/config", "/metrics", "/v1/status"} {
-			a, err := do(ctx, http.MethodGet, f.CallerURL(0)+path, nil, http.Header{"Authorization": {"Bearer " + OperatorToken}})
+			resp, err := do(ctx, http.MethodGet, f.CallerURL(0)+path, nil, http.Header{"Authorization": {"Bearer " + OperatorToken}})
 			require.NoError(t, err)
-			require.Equal(t, http.StatusNotFound, a.Status, "%s is served on the caller port", path)
+			require.Equal(t, http.StatusNotFound, resp.Status, "%s is served on the caller port", path)
 		}
 		_, err := adminclient.New("http://"+f.Boxes[0].AdminAddr(), CallerKey).Config(ctx)
 		require.ErrorContains(t, err, "no operator has this token")
--- a/pkg/objectstore/client.go
+++ b/pkg/objectstore/client.go
@@ -99,9 +99,9 @@
 	if err != nil {
 		return response{}, &UnavailableError{Op: cl.op, Cause: err}
 	}
-	a, err := c.roundTrip(req)
+	resp, err := c.roundTrip(req)
 	if err == nil {
-		return a, c.checkStatus(cl, a)
+		return resp, c.checkStatus(cl, resp)
 	}
 	if cl.write && sent.Load() {
 		return response{}, &UnknownOutcomeError{Op: cl.op, Cause: err}
@@ -145,25 +145,25 @@
 
 var errRateLimited = errors.New("rate limit")
 
-func (c *Client) checkStatus(cl call, a response) error {
+func (c *Client) checkStatus(cl call, resp response) error {
 	switch {
-	case a.status < 300:
+	case resp.status < 300:
 		return nil
-	case a.status == http.StatusNotFound:
+	case resp.status == http.StatusNotFound:
 		return &NotFoundError{Key: cl.path}
-	case a.status == http.StatusPreconditionFailed, a.status == http.StatusConflict:
+	case resp.status == http.StatusPreconditionFailed, resp.status == http.StatusConflict:
 		return &ConflictError{Key: cl.path}
-	case a.status == http.StatusTooManyRequests:
+	case resp.status == http.StatusTooManyRequests:
 		return &UnavailableError{Op: cl.op, Cause: errRateLimited}
-	case a.status == http.StatusNotModified:
+	case resp.status == http.StatusNotModified:
 		return &UnavailableError{Op: cl.op, Cause: errNoChange}
-	case a.status >= 500 && cl.write:
+	case resp.status >= 500 && cl.write:
 		// Also 503: a proxy may return it for a write that took effect.
-		return &UnknownOutcomeError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
-	case a.status >= 500:
-		return &UnavailableError{Op: cl.op, Cause: fmt.Errorf("status %d", a.status)}
+		return &UnknownOutcomeError{Op: cl.op, Cause: fmt.Errorf("status %d", resp.status)}
+	case resp.status >= 500:
+		return &UnavailableError{Op: cl.op, Cause: fmt.Errorf("status %d", resp.status)}
 	}
-	return &InvalidResponseError{Op: cl.op, Status: a.status}
+	return &InvalidResponseError{Op: cl.op, Status: resp.status}
 }
 
 var errNoChange = errors.New("no change within the wait")
@@ -175,23 +175,23 @@
 
 // Get implements Objects.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
-	a, err := c.do(ctx, call{op: "get", method: http.MethodGet, path: objectPath(key), timeout: callTimeout})
+	resp, err := c.do(ctx, call{op: "get", method: http.MethodGet, path: objectPath(key), timeout: callTimeout})
 	if err != nil {
 		return Object{}, err
 	}
-	return Object{Key: key, Value: a.body, Version: a.version}, nil
+	return Object{Key: key, Value: resp.body, Version: resp.version}, nil
 }
 
 // List implements Objects.
 func (c *Client) List(ctx context.Context, prefix string) ([]ObjectInfo, error) {
 	path := "/v1/objects?prefix=" + url.QueryEscape(prefix)
-	a, err := c.do(ctx, call{op: "list", method: http.MethodGet, path: path, timeout: callTimeout})
+	resp, err := c.do(ctx, call{op: "list", method: http.MethodGet, path: path, timeout: callTimeout})
 	if err != nil {
 		return nil, err
 	}
 	var entries []ObjectInfo
-	if err := json.Unmarshal(a.body, &entries); err != nil {
-		return nil, &InvalidResponseError{Op: "list", Status: a.status}
+	if err := json.Unmarshal(resp.body, &entries); err != nil {
+		return nil, &InvalidResponseError{Op: "list", Status: resp.status}
 	}
 	return entries, nil
 }
@@ -214,11 +214,11 @@
 	if len(value) > MaxValueBytes {
 		return 0, &TooLargeError{Key: key, Size: len(value)}
 	}
-	a, err := c.do(ctx, call{
+	resp, err := c.do(ctx, call{
 		op: op, method: http.MethodPut, path: objectPath(key),
 		header: h, body: value, write: true, timeout: callTimeout,
 	})
-	return a.version, err
+	return resp.version, err
 }
 
 // Delete implements Objects.
@@ -233,24 +233,24 @@
 // Watch implements Objects.
 func (c *Client) Watch(ctx context.Context, key string, after Version) (Object, error) {
 	path := fmt.Sprintf("%s?watch=1&after=%d&timeout=%s", objectPath(key), after, watchTimeout)
-	a, err := c.do(ctx, call{
+	resp, err := c.do(ctx, call{
 		op: "watch", method: http.MethodGet, path: path, timeout: watchTimeout + watchGrace,
 	})
 	if err != nil {
 		return Object{}, err
 	}
-	return Object{Key: key, Value: a.body, Version: a.version}, nil
+	return Object{Key: key, Value: resp.body, Version: resp.version}, nil
 }
 
 // Boxes implements Boxes.
 func (c *Client) Boxes(ctx context.Context) ([]Box, error) {
-	a, err := c.do(ctx, call{op: "boxes", method: http.MethodGet, path: "/v1/boxes", timeout: callTimeout})
+	resp, err := c.do(ctx, call{op: "boxes", method: http.MethodGet, path: "/v1/boxes", timeout: callTimeout})
 	if err != nil {
 		return nil, err
 	}
 	var boxes []Box
-	if err := json.Unmarshal(a.body, &boxes); err != nil {
-		return nil, &InvalidResponseError{Op: "boxes", Status: a.status}
+	if err := json.Unmarshal(resp.body, &boxes); err != nil {
+		return nil, &InvalidResponseError{Op: "boxes", Status: resp.status}
 	}
 	return boxes, nil
 }
--- a/pkg/objlog/log.go
+++ b/pkg/objlog/log.go
@@ -32,10 +32,10 @@
 	stateMachine    StateMachine
 
 	mu sync.Mutex
-	// head is the open segment as last read, version the version of its object, or 0
+	// head is the open segment as last read, headVersion the version of its object, or 0
 	// while the object does not exist.
-	head    segment
-	version objectstore.Version
+	head        segment
+	headVersion objectstore.Version
 	// oldestArchive is the lowest number of an archived segment that may still exist.
 	oldestArchive int
 	compacting    bool
@@ -80,7 +80,7 @@
 
 // applyHead brings the log up to date with the given head object.
 func (l *Log) applyHead(ctx context.Context, o objectstore.Object) error {
-	if o.Version == l.version {
+	if o.Version == l.headVersion {
 		return nil
 	}
 	head, err := decodeSegment(l.headKey(), o.Value)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		if err := l.applySegment(s, l.version); err != nil {
+		if err := l.applySegment(s, l.headVersion); err != nil {
 			return err
 		}
 		l.head = segment{Number: s.Number + 1, First: s.nextIndex()}
@@ -145,7 +145,7 @@
 			return err
 		}
 	}
-	l.head, l.version = s, v
+	l.head, l.headVersion = s, v
 	return nil
 }
 
@@ -211,10 +211,10 @@
 // append. It was if all records are at the expected indices: other writers acting for
 // the same attempts may have written some of them.
 func (l *Log) resolveConflict(ctx context.Context, number int, expect uint64, records []Record) error {
-	if err := l.refreshUntilChanged(ctx, l.version); err != nil {
+	if err := l.refreshUntilChanged(ctx, l.headVersion); err != nil {
 		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
-	found, err := l.findRecords(ctx, number, expect, records)
+	found, err := l.containsRecords(ctx, number, expect, records)
 	if err != nil {
 		return &objectstore.UnknownOutcomeError{Op: "append", Cause: err}
 	}
@@ -232,7 +232,7 @@
 		if err := l.refresh(ctx); err != nil {
 			return err
 		}
-		if l.version != stale {
+		if l.headVersion != stale {
 			return nil
 		}
 		select {
@@ -250,8 +250,8 @@
 	return b
 }
 
-// findRecords reports whether segment number contains records from index on.
-func (l *Log) findRecords(ctx context.Context, number int, index uint64, records []Record) (bool, error) {
+// containsRecords reports whether segment number contains records from index on.
+func (l *Log) containsRecords(ctx context.Context, number int, index uint64, records []Record) (bool, error) {
 	if l.head.Number == number {
 		return l.head.hasRecordsAt(index, records), nil
 	}
@@ -295,17 +295,17 @@
 }
 
 func (l *Log) write(ctx context.Context, value []byte) (objectstore.Version, error) {
-	if l.version == 0 {
+	if l.headVersion == 0 {
 		return l.objects.Create(ctx, l.headKey(), value)
 	}
-	return l.objects.Update(ctx, l.headKey(), value, l.version)
+	return l.objects.Update(ctx, l.headKey(), value, l.headVersion)
 }
 
 // WaitForChange waits until the log has grown since the last read and applies the new
 // records. It takes one platform call, as the response to a watch is the head itself.
 func (l *Log) WaitForChange(ctx context.Context) error {
 	l.mu.Lock()
-	after := l.version
+	after := l.headVersion
 	l.mu.Unlock()
 	o, err := l.objects.Watch(ctx, l.headKey(), after)
 	if err != nil {
