--- a/pkg/membership/tracker.go
+++ b/pkg/membership/tracker.go
@@ -229,8 +229,8 @@
 	return b
 }
 
-// CountWithGeneration counts the other live boxes, and those of them whose configuration
-// generation is at least the given one.
+// CountWithGeneration returns how many of the other live boxes have at least the given
+// configuration generation, and the number of other live boxes.
 func (t *Tracker) CountWithGeneration(generation uint64) (have, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -56,7 +56,7 @@
 	recorder *recorder
 }
 
-func newClient(objects objectstore.Objects) *testLog {
+func newTestLog(objects objectstore.Objects) *testLog {
 	m := &recorder{}
 	l := New(objects, "p/log", m)
 	l.maxSegmentBytes = 400 // a few records per segment
@@ -98,7 +98,7 @@
 func newHistory() *history {
 	r := &history{platform: standin.New(), acknowledged: map[string]uint64{}, rejected: map[string]bool{}}
 	for range 3 {
-		r.logs = append(r.logs, newClient(r.platform.Client()))
+		r.logs = append(r.logs, newTestLog(r.platform.Client()))
 	}
 	return r
 }
@@ -114,7 +114,7 @@
 	case "refresh":
 		_ = l.Refresh(ctx)
 	case "restart":
-		r.logs[o.Log] = newClient(r.platform.Client())
+		r.logs[o.Log] = newTestLog(r.platform.Client())
 	case "fold":
 		_ = l.Compact(ctx, l.recorder.state)
 	case "faults":
@@ -145,7 +145,7 @@
 		ops := rapid.SliceOfN(drawOp(), 1, 80).Draw(rt, "ops")
 		r := newHistory()
 		var errs []error
-		fresh := newClient(r.platform.Client())
+		fresh := newTestLog(r.platform.Client())
 		synctest.Test(t, func(*testing.T) {
 			for _, o := range ops {
 				r.do(o)
@@ -198,14 +198,14 @@
 
 func newIntercepted(p *standin.Server) (*interceptor, *testLog) {
 	g := &interceptor{next: p.Transport()}
-	return g, newClient(objectstore.NewClientWithTransport(g, "http://platform", "", callrate.DefaultBudget))
+	return g, newTestLog(objectstore.NewClientWithTransport(g, "http://platform", "", callrate.DefaultBudget))
 }
 
 func TestPausedWriterLosesItsPlace(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	g, suspended := newIntercepted(p)
-	other := newClient(p.Client())
+	other := newTestLog(p.Client())
 	require.NoError(t, suspended.Refresh(ctx))
 	g.beforeWrite = func() {
 		require.NoError(t, other.Refresh(ctx))
@@ -231,7 +231,7 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusPreconditionFailed, resp.StatusCode)
 		}
-		fresh := newClient(p.Client())
+		fresh := newTestLog(p.Client())
 		require.NoError(t, fresh.Refresh(ctx))
 		require.Equal(t, []string{"a", "b"}, fresh.recorder.ids)
 	})
@@ -242,7 +242,7 @@
 		ctx := t.Context()
 		p := standin.New()
 		g, l := newIntercepted(p)
-		other := newClient(p.Client())
+		other := newTestLog(p.Client())
 		require.NoError(t, l.Refresh(ctx))
 		// The write takes effect but its response is lost. Before the retry, another box appends
 		// until the segment is archived.
@@ -264,7 +264,7 @@
 func TestRestoredPlatformIsNotBelieved(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
-	l := newClient(p.Client())
+	l := newTestLog(p.Client())
 	require.NoError(t, l.Append(ctx, 1, []Record{newRecord("a")}))
 	backup := p.Snapshot()
 	require.NoError(t, l.Append(ctx, 2, []Record{newRecord("b")}))
@@ -278,7 +278,7 @@
 func TestAppendOutcomeUnknownWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
-		l := newClient(p.Client())
+		l := newTestLog(p.Client())
 		p.SetFaults(standin.Faults{Down: true})
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
@@ -308,7 +308,7 @@
 func TestRecordOfAnotherWriterIsNotTakenForOurs(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
-	first, second := newClient(p.Client()), newClient(p.Client())
+	first, second := newTestLog(p.Client()), newTestLog(p.Client())
 	require.NoError(t, first.Refresh(ctx))
 	require.NoError(t, second.Refresh(ctx))
 	next := first.NextIndex()
--- a/pkg/peer/links.go
+++ b/pkg/peer/links.go
@@ -19,7 +19,7 @@
 
 // DownHandler handles messages from the owners of shards.
 type DownHandler interface {
-	// HandleDown handles a message from the box owner.
+	// HandleDown handles a message sent by the box named owner.
 	HandleDown(owner string, m *peerpb.DownMessage)
 	// HandleLinkUp is called when messages can be sent to a box. Messages sent earlier are
 	// lost.
