--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -77,13 +77,13 @@
 
 // A call that must not be repeated must run at most once even if its box is killed, the
 // caller retries at another box, and the platform loses responses.
-func TestKeyedCallsRunOnceWhileBoxesDie(t *testing.T) {
+func TestKeyedCallsRunOnceWhileBoxesAreKilled(t *testing.T) {
 	for _, fences := range []bool{false, true} {
-		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) { keyedCallsWhileBoxesDie(t, fences) })
+		t.Run(fmt.Sprint("fences=", fences), func(t *testing.T) { checkKeyedCallsWhileBoxesAreKilled(t, fences) })
 	}
 }
 
-func keyedCallsWhileBoxesDie(t *testing.T, fences bool) {
+func checkKeyedCallsWhileBoxesAreKilled(t *testing.T, fences bool) {
 	withFleet(t, func(o *Options) { o.Boxes, o.ChecksFences = 3, fences }, func(ctx context.Context, f *Fleet) {
 		f.Service.SetFaults(service.Faults{Delay: 30 * time.Millisecond})
 		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, LoseWrites: 5})
@@ -120,7 +120,7 @@
 }
 
 // Killing the owner of a shard must not affect responses to callers of other boxes.
-func TestOwnerKilledInMidBurst(t *testing.T) {
+func TestOwnerKilledDuringBurst(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		owner := f.ownerOf(ctx, t, EngineService)
 		var bases []string
@@ -190,7 +190,7 @@
 
 // A shard must move immediately on a graceful stop, and after the failure timeout when its
 // owner is killed. The limit is generous, and the longest gap is logged.
-func TestGapInGrantsOnStopAndKill(t *testing.T) {
+func TestGrantGapOnStopAndKill(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		t.Run(fmt.Sprint("kill=", kill), func(t *testing.T) {
 			withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
@@ -219,7 +219,7 @@
 
 // A graceful stop must not interrupt streams, waiting requests, or requests that arrive
 // before the load balancer reacts.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulStopInterruptsNoRequest(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Slots = 4 }, func(ctx context.Context, f *Fleet) {
 		base := f.CallerURL(0)
 		p := pool.New().WithErrors()
@@ -242,7 +242,7 @@
 
 // A leaving server must get no new requests after a few seconds, whichever source reports
 // it, even if the platform is down and the owner is replaced.
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
+func TestLeavingServerReceivesNoNewRequests(t *testing.T) {
 	sources := map[string]func(ctx context.Context, t *testing.T, f *Fleet){
 		"engine response": func(_ context.Context, _ *testing.T, f *Fleet) {
 			f.Engines[0].SetFaults(engine.Faults{Leaving: true})
@@ -283,7 +283,7 @@
 // During an outage of the platform requests must be served, keyed calls that must not be
 // repeated must be rejected immediately, and a new box must get the configuration from its
 // peers. Afterwards the fleet must recover within the call budget.
-func TestHoursWithoutThePlatform(t *testing.T) {
+func TestPlatformOutage(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		f.Platform.SetFaults(standin.Faults{Down: true})
 		_, err := f.AddBox()
@@ -333,7 +333,7 @@
 
 // An accepted plan must be in force on every box within seconds, and on a box that starts
 // after the platform was restored to an older state.
-func TestAcceptedPlanIsInForceEverywhere(t *testing.T) {
+func TestAcceptedPlanIsInForceOnAllBoxes(t *testing.T) {
 	withFleet(t, func(o *Options) { o.Boxes = 3 }, func(ctx context.Context, f *Fleet) {
 		old := f.Platform.Snapshot()
 		start := time.Now()
--- a/pkg/localfleet/fleet_test.go
+++ b/pkg/localfleet/fleet_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestManyCallersGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentCallersGetTheirOwnResponses(t *testing.T) {
 	wide := func(o *Options) { o.Boxes, o.Slots, o.Engine.Batch = 3, 128, 128 }
 	withFleet(t, wide, func(ctx context.Context, f *Fleet) {
 		p := pool.New().WithErrors()
--- a/pkg/localfleet/notrun_test.go
+++ b/pkg/localfleet/notrun_test.go
@@ -99,7 +99,7 @@
 
 // The outcome not_run must be true, and a request that must not be repeated must run at
 // most once, wherever the exchange fails.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunOutcomeIsAccurate(t *testing.T) {
 	change := func(o *Options) {
 		o.ModifySettings = func(s *settings.Settings) { s.Limits.AnswerTimeout = 700 * time.Millisecond }
 	}
--- a/pkg/localfleet/security_test.go
+++ b/pkg/localfleet/security_test.go
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestCallersAreBoundedAndKeptApart(t *testing.T) {
+func TestCallerLimitsAndPortIsolation(t *testing.T) {
 	change := func(o *Options) {
 		o.ModifySettings = func(s *settings.Settings) {
 			s.Limits.MaxBodyBytes = 64 << 10
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -145,7 +145,7 @@
 	})
 }
 
-func BenchmarkHeardAt1700(b *testing.B) {
+func BenchmarkHeartbeatAt1700(b *testing.B) {
 	tr := newTracker(1700)
 	for b.Loop() {
 		tr.RecordHeartbeat(now, Heartbeat{Box: "box-0700", Incarnation: "i"})
--- a/pkg/objlog/log_test.go
+++ b/pkg/objlog/log_test.go
@@ -201,7 +201,7 @@
 	return g, newTestLog(objectstore.NewClientWithTransport(g, "http://platform", "", callrate.DefaultBudget))
 }
 
-func TestPausedWriterLosesItsPlace(t *testing.T) {
+func TestSuspendedWriterFailsToAppend(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	g, suspended := newIntercepted(p)
@@ -217,7 +217,7 @@
 }
 
 // A write that is delivered after its retry succeeded must not take effect.
-func TestLateWriteTakesNoEffectTwice(t *testing.T) {
+func TestLateWriteHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		p := standin.New()
@@ -261,7 +261,7 @@
 	})
 }
 
-func TestRestoredPlatformIsNotBelieved(t *testing.T) {
+func TestRestoredPlatformIsDetected(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	l := newTestLog(p.Client())
@@ -305,7 +305,7 @@
 
 // Two writers may append a record with the same ID for the same attempt. Finding it in the
 // log must not be taken as proof that the rest of the append was written.
-func TestRecordOfAnotherWriterIsNotTakenForOurs(t *testing.T) {
+func TestPartlyWrittenAppendConflicts(t *testing.T) {
 	ctx := t.Context()
 	p := standin.New()
 	first, second := newTestLog(p.Client()), newTestLog(p.Client())
