--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -86,7 +86,7 @@
 func checkKeyedCallsWhileBoxesAreKilled(t *testing.T, fences bool) {
 	withFleet(t, func(o *Options) { o.Boxes, o.ChecksFences = 3, fences }, func(ctx context.Context, f *Fleet) {
 		f.Service.SetFaults(service.Faults{Delay: 30 * time.Millisecond})
-		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, LoseWrites: 5})
+		f.Platform.SetFaults(standin.Faults{Delay: 10 * time.Millisecond, DropWriteResponses: 5})
 		bases := []string{f.CallerURL(0), f.CallerURL(1), f.CallerURL(2)}
 		p := pool.New()
 		for i := range 60 {
