--- a/pkg/box/stop.go
+++ b/pkg/box/stop.go
@@ -23,7 +23,7 @@
 	defer cancel()
 	pause.For(ctx, b.settings.Limits.StopNotice)
 	if err := b.callerServer.Shutdown(ctx); err != nil {
-		level.Warn(b.logger).Log("msg", "graceful stop interrupted", "cut", b.entry.InFlight(), "err", err)
+		level.Warn(b.logger).Log("msg", "planned stop cut short", "cut", b.entry.InFlight(), "err", err)
 		b.callerServer.Close()
 	}
 	b.drain(ctx)
--- a/pkg/localfleet/failures_test.go
+++ b/pkg/localfleet/failures_test.go
@@ -66,7 +66,7 @@
 	return -1
 }
 
-// checkResponse returns an error unless a is the complete response to content.
+// checkResponse returns an error unless resp is the complete response to content.
 func checkResponse(resp Response, content string) error {
 	want := strings.Join(engine.Answer(content, strings.Count(resp.Text, " ")), "")
 	if resp.Complete && resp.Text == want && resp.Outcome == api.OutcomeDone {
