--- a/pkg/localfleet/call.go
+++ b/pkg/localfleet/call.go
@@ -14,23 +14,23 @@
 	"headhill.example/headhill/pkg/sse"
 )
 
-// Response is what a caller got.
+// Response is the response that a caller received.
 type Response struct {
 	Status int
 	Header http.Header
-	// Text is the content of a chat completion, or the body of anything else.
+	// Text is the content of a chat completion, or the body of any other response.
 	Text string
-	// Events are the raw events of a stream.
+	// Events holds the raw events of a stream.
 	Events [][]byte
-	// Complete says that a stream ended with its closing mark.
+	// Complete is set if a stream ended with the [DONE] event.
 	Complete bool
-	// Error is the error event or body, if there was one.
+	// Error is the error event or error body, if any.
 	Error *api.Error
-	// Outcome is what the caller was told.
+	// Outcome is the value of the outcome header or trailer.
 	Outcome api.Outcome
 }
 
-// Chat sends a streamed chat completion to a base URL.
+// Chat sends a streaming chat completion request to the box at a base URL.
 func Chat(ctx context.Context, base, content string, header http.Header) (Response, error) {
 	body, err := json.Marshal(map[string]any{
 		"model":    Model,
@@ -43,7 +43,7 @@
 	return do(ctx, http.MethodPost, base+"/v1/chat/completions", body, header)
 }
 
-// Call sends a call to the plain service at a base URL.
+// Call sends a request to the plain service through the box at a base URL.
 func Call(ctx context.Context, base, path string, body []byte, header http.Header) (Response, error) {
 	return do(ctx, http.MethodPost, base+"/services/"+PlainService+path, body, header)
 }
@@ -59,35 +59,35 @@
 	if req.Header.Get("Authorization") == "" {
 		req.Header.Set("Authorization", "Bearer "+CallerKey)
 	}
-	resp, err := callers.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return Response{}, err
 	}
 	defer resp.Body.Close()
-	return read(resp)
+	return readResponse(resp)
 }
 
-// callers is the callers' own client: it never repeats a request by itself.
-var callers = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// callerClient never retries requests.
+var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func read(resp *http.Response) (Response, error) {
-	a := Response{Status: resp.StatusCode, Header: resp.Header}
+func readResponse(resp *http.Response) (Response, error) {
+	r := Response{Status: resp.StatusCode, Header: resp.Header}
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
-		err := a.readStream(resp.Body)
-		a.Outcome = api.Outcome(resp.Trailer.Get(api.HeaderOutcome))
-		return a, err
+		err := r.readStream(resp.Body)
+		r.Outcome = api.Outcome(resp.Trailer.Get(api.HeaderOutcome))
+		return r, err
 	}
 	data, err := io.ReadAll(resp.Body)
-	a.Text = string(data)
-	a.Outcome = api.Outcome(resp.Header.Get(api.HeaderOutcome))
+	r.Text = string(data)
+	r.Outcome = api.Outcome(resp.Header.Get(api.HeaderOutcome))
 	var e api.ErrorBody
 	if json.Unmarshal(data, &e) == nil && e.Error.Type != "" {
-		a.Error = &e.Error
+		r.Error = &e.Error
 	}
-	return a, err
+	return r, err
 }
 
-// eventBody is the part of an event that a caller reads.
+// eventBody holds the fields of an event that the caller uses.
 type eventBody struct {
 	Choices []struct {
 		Delta struct {
@@ -97,10 +97,10 @@
 	Error *api.Error `json:"error"`
 }
 
-func (a *Response) readStream(body io.Reader) error {
+func (r *Response) readStream(body io.Reader) error {
 	events := sse.NewReader(body)
 	var text strings.Builder
-	defer func() { a.Text = text.String() }()
+	defer func() { r.Text = text.String() }()
 	for {
 		data, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -109,9 +109,9 @@
 		if err != nil {
 			return err
 		}
-		a.Events = append(a.Events, append([]byte(nil), data...))
+		r.Events = append(r.Events, append([]byte(nil), data...))
 		if string(data) == "[DONE]" {
-			a.Complete = true
+			r.Complete = true
 			continue
 		}
 		var e eventBody
@@ -119,7 +119,7 @@
 			return fmt.Errorf("event %q: %w", data, err)
 		}
 		if e.Error != nil {
-			a.Error = e.Error
+			r.Error = e.Error
 		}
 		for _, c := range e.Choices {
 			text.WriteString(c.Delta.Content)
