--- a/pkg/announce/announce.go
+++ b/pkg/announce/announce.go
@@ -50,8 +50,8 @@
 	Logger    log.Logger
 }
 
-// kind is the datagram kind of announcements.
-const kind = "announce"
+// datagramKind is the kind of announcements.
+const datagramKind = "announce"
 
 // Checker takes turns with its peers to check the store.
 type Checker struct {
@@ -65,7 +65,7 @@
 func New(d Deps) *Checker {
 	c := &Checker{Deps: d, inbox: make(chan message, 64), unknownSender: make(chan struct{}, 1)}
 	d.Directory.OnNotification(c.announceNotification)
-	d.Port.Handle(kind, c.receive)
+	d.Port.Handle(datagramKind, c.receive)
 	d.Port.OnUnknownSender(c.RequestRosterRefresh)
 	return c
 }
@@ -254,7 +254,7 @@
 // send sends a message to all peers. It returns false if the message is too long.
 func (c *Checker) send(m message) bool {
 	body, err := json.Marshal(m)
-	return err == nil && c.Port.Send(kind, body, c.Peers()...)
+	return err == nil && c.Port.Send(datagramKind, body, c.Peers()...)
 }
 
 // withoutDeltas returns the message with deltas replaced by revisions.
--- a/pkg/announce/announce_test.go
+++ b/pkg/announce/announce_test.go
@@ -53,8 +53,8 @@
 	return n
 }
 
-// withGroup runs n checkers. Those in deaf receive no announcements.
-func withGroup(t *testing.T, n int, deaf map[int]bool, f func(*group)) {
+// withGroup runs n checkers. Those in withoutAnnouncements receive none.
+func withGroup(t *testing.T, n int, withoutAnnouncements map[int]bool, f func(*group)) {
 	g := &group{checks: make([]int, n)}
 	conns := make([]*net.UDPConn, n)
 	for i := range conns {
@@ -65,7 +65,7 @@
 	for i := range n {
 		var peers []*net.UDPAddr
 		for j, c := range conns {
-			if j != i && !deaf[j] {
+			if j != i && !withoutAnnouncements[j] {
 				peers = append(peers, c.LocalAddr().(*net.UDPAddr))
 			}
 		}
@@ -142,7 +142,7 @@
 func TestUnknownSenderTriggersRosterRefresh(t *testing.T) {
 	c, unknown := checker(t), listen(t)
 	go c.Port.Listen()
-	port(unknown).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
+	port(unknown).Send(datagramKind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	require.Eventually(t, func() bool { return len(c.unknownSender) == 1 }, 10*time.Second, time.Millisecond)
 	assert.Empty(t, c.inbox, "the announcement is dropped")
 }
@@ -193,7 +193,7 @@
 	wg.Go(func() { c.Run(ctx) })
 	wg.Go(c.Port.Listen)
 	time.Sleep(700 * time.Millisecond)
-	port(unknown).Send(kind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
+	port(unknown).Send(datagramKind, []byte(`{"check":{"revision":9}}`), c.Port.Conn.LocalAddr().(*net.UDPAddr))
 	require.Eventually(t, func() bool { return refreshes.Load() == 1 }, 10*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	assert.Zero(t, checks.Load(), "the check is postponed")
@@ -214,7 +214,7 @@
 	c.announceNotification(directory.Notification{ServersDelta: delta})
 	received := make(chan message, 1)
 	p := port(other, c.Port.Conn.LocalAddr().(*net.UDPAddr))
-	p.Handle(kind, func(d datagram.Message) {
+	p.Handle(datagramKind, func(d datagram.Message) {
 		m, err := parse(d)
 		assert.NoError(t, err)
 		received <- m
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -56,7 +56,7 @@
 			b = b[n:]
 		}
 		if output := append(got, s.partial...); !bytes.Equal(output, text) {
-			t.Fatalf("input %q, output %q", text, output)
+			t.Fatalf("events and rest of input %q add up to %q", text, output)
 		}
 	})
 }
--- a/pkg/lease/elector.go
+++ b/pkg/lease/elector.go
@@ -19,16 +19,16 @@
 	startedAt   time.Time
 	recordKnown bool
 	// fence is the revision at which this box acquired the lease, or zero; heldUntil is how long it
-	// may use the lease. lostAt is when this box may last have made a call as the holder.
-	fence     uint64
-	heldUntil time.Time
-	lostAt    time.Time
+	// may use the lease. lastHeldAt is when this box may last have made a call as the holder.
+	fence      uint64
+	heldUntil  time.Time
+	lastHeldAt time.Time
 }
 
 // NewElector returns the elector of a process that starts now. It assumes that an earlier process
 // of the box may have held the lease until now.
 func NewElector(box string, incarnation uint64, timing Timing, now time.Time) *Elector {
-	return &Elector{box: box, incarnation: incarnation, timing: timing, startedAt: now, lostAt: now}
+	return &Elector{box: box, incarnation: incarnation, timing: timing, startedAt: now, lastHeldAt: now}
 }
 
 // Latest returns the newest known record.
@@ -80,7 +80,7 @@
 // endHolding records that this box no longer holds the lease.
 func (e *Elector) endHolding(now time.Time) {
 	e.fence = 0
-	e.lostAt = later(e.lostAt, earlier(e.heldUntil, now))
+	e.lastHeldAt = later(e.lastHeldAt, earlier(e.heldUntil, now))
 }
 
 // Step is the next action of a box.
@@ -135,9 +135,9 @@
 		// This box was the last holder, so no other box has made calls since.
 		return e.latestSince
 	case e.latest.Holder == "":
-		return later(e.latestSince.Add(delay), e.lostAt.Add(e.timing.Cooldown))
+		return later(e.latestSince.Add(delay), e.lastHeldAt.Add(e.timing.Cooldown))
 	}
-	return later(e.latestSince.Add(e.timing.TakeoverDelay+delay), e.lostAt.Add(e.timing.Cooldown))
+	return later(e.latestSince.Add(e.timing.TakeoverDelay+delay), e.lastHeldAt.Add(e.timing.Cooldown))
 }
 
 // AcquireRecord returns the record that acquires the lease.
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -18,7 +18,7 @@
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 7).Draw(t, "boxes"), TimingFor(leaseDuration))
 		sim.run(40*time.Second, sim.randomFaults(rapid.IntRange(20, 300).Draw(t, "every")))
 		require.Empty(t, sim.violation())
-		sim.noLostAnswers, sim.datagramLoss, sim.storeDownUntil = true, false, sim.now
+		sim.noLostResponses, sim.datagramLoss, sim.storeDownUntil = true, false, sim.now
 		for _, b := range sim.boxes {
 			b.frozenUntil, b.storeCutUntil, b.peersCutUntil, b.cloudCutUntil, b.deadUntil = sim.now, sim.now, sim.now, sim.now, sim.now
 		}
@@ -162,7 +162,7 @@
 	assert.Empty(t, sim.violation())
 }
 
-// A holder whose renewal took effect without an answer keeps its lease and fence.
+// A holder whose renewal took effect without a response keeps its lease and fence.
 func TestUnansweredRenewalIsRecovered(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	e := NewElector("a", 1, TimingFor(leaseDuration), now)
@@ -181,7 +181,7 @@
 	assert.EqualValues(t, 10, fence, "no other box held the lease in between")
 }
 
-// A box whose acquisition took effect without an answer does not know its fence, so it must acquire
+// A box whose acquisition took effect without a response does not know its fence, so it must acquire
 // the lease again.
 func TestUnansweredAcquisitionIsRepeated(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
--- a/pkg/lease/simulation_test.go
+++ b/pkg/lease/simulation_test.go
@@ -24,8 +24,8 @@
 	calls  []cloudCall
 	// storeDownUntil is when a store outage ends.
 	storeDownUntil time.Time
-	// noLostAnswers disables the random loss of store answers.
-	noLostAnswers bool
+	// noLostResponses disables the random loss of store responses.
+	noLostResponses bool
 	// datagramLoss drops a third of the datagrams between boxes.
 	datagramLoss bool
 	// suspendMachines adds suspended machines to the faults. With monotonicClock the clocks of
@@ -199,7 +199,7 @@
 	}
 	if p.submitted && p.answered {
 		b.pending = nil
-		sim.handleAnswer(b, p)
+		sim.handleResponse(b, p)
 		return
 	}
 	if sim.elapsed(b).Sub(p.sentAt) > storeTimeout {
@@ -208,7 +208,7 @@
 	}
 }
 
-// execute executes a call at the store. Its answer may be lost, and a write may be delayed.
+// execute executes a call at the store. Its response may be lost, and a write may be delayed.
 func (sim *simulation) execute(b *simulatedBox, p *pendingCall) {
 	if sim.now.Before(sim.storeDownUntil) || sim.now.Before(b.storeCutUntil) {
 		if p.step != StepRead && sim.random.IntN(3) == 0 {
@@ -217,20 +217,20 @@
 		}
 		return
 	}
-	answerLost := !sim.noLostAnswers && sim.random.IntN(20) == 0
+	responseLost := !sim.noLostResponses && sim.random.IntN(20) == 0
 	if p.step == StepRead {
-		p.result, p.answered = sim.store.stored, !answerLost
+		p.result, p.answered = sim.store.stored, !responseLost
 		return
 	}
 	if sim.write(p.record, p.revision) {
-		p.result, p.answered = sim.store.stored, !answerLost
+		p.result, p.answered = sim.store.stored, !responseLost
 		return
 	}
-	p.conflict, p.result, p.answered = true, sim.store.stored, !answerLost
+	p.conflict, p.result, p.answered = true, sim.store.stored, !responseLost
 }
 
-// handleAnswer passes the answer of the store to the elector, as Manager does.
-func (sim *simulation) handleAnswer(b *simulatedBox, p *pendingCall) {
+// handleResponse passes the response of the store to the elector, as Manager does.
+func (sim *simulation) handleResponse(b *simulatedBox, p *pendingCall) {
 	switch {
 	case p.step == StepRead || p.conflict:
 		b.elector.ObserveRead(p.result, sim.elapsed(b))
--- a/pkg/quarantine/gossiper.go
+++ b/pkg/quarantine/gossiper.go
@@ -23,7 +23,7 @@
 	// sends to fanout random ones, which relay what is new to them.
 	maxDirectPeers = 24
 	fanout         = 6
-	// batchDelay is how long changes are collected previous they are sent.
+	// batchDelay is how long changes are collected before they are sent.
 	batchDelay = 5 * time.Millisecond
 	// Changes made by this box are sent localSends times, relayed ones relayedSends times. The delay between
 	// sends starts at resendDelay and is multiplied by resendBackoffFactor.
@@ -42,8 +42,8 @@
 	syncRequestInterval = 150 * time.Millisecond
 	syncRequestPeers    = 3
 	maxReplyItems       = 400
-	// inboxSize is the number of received messages that are queued.
-	inboxSize = 256
+	// inboxCapacity limits the received messages that are queued. Further ones are dropped.
+	inboxCapacity = 256
 )
 
 // GossiperDeps are the dependencies of a Gossiper.
@@ -85,7 +85,7 @@
 
 // NewGossiper returns a gossiper and registers it for messages on the port.
 func NewGossiper(d GossiperDeps) *Gossiper {
-	g := &Gossiper{GossiperDeps: d, wake: make(chan struct{}, 1), inbox: make(chan received, inboxSize), pending: make(map[Fingerprint]*pendingItem)}
+	g := &Gossiper{GossiperDeps: d, wake: make(chan struct{}, 1), inbox: make(chan received, inboxCapacity), pending: make(map[Fingerprint]*pendingItem)}
 	d.Port.Handle(datagramKind, g.receive)
 	d.Ledger.onChange = g.enqueue
 	return g
--- a/pkg/quarantine/gossiper_test.go
+++ b/pkg/quarantine/gossiper_test.go
@@ -165,8 +165,8 @@
 	return true
 }
 
-// After three boxes each saw one server crash under a request, all boxes must hold it, also with packet loss
-// and in a fleet with more than maxDirectPeers boxes.
+// After three boxes each saw a server crash while it had the same request, all boxes must hold that request,
+// also with packet loss and in a fleet with more than maxDirectPeers boxes.
 func TestAllBoxesHoldAfterThreeCrashes(t *testing.T) {
 	for _, c := range []struct{ boxes, dropEvery int }{{4, 0}, {7, 3}, {60, 0}, {60, 10}} {
 		t.Run(fmt.Sprintf("%d boxes, one in %d lost", c.boxes, c.dropEvery), func(t *testing.T) {
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, 1, l.Verdict(f).Crashes)
 }
 
-// A request that has been excused many times must still be held once servers crash of it.
+// A request that has been excused many times must still be held once it crashes servers.
 func TestExcusedCrashesDoNotCrowdOutLaterOnes(t *testing.T) {
 	l, f := NewLedger(), fingerprint("a")
 	for n := range 3 * maxCrashes {
--- a/pkg/quarantine/operators.go
+++ b/pkg/quarantine/operators.go
@@ -12,7 +12,7 @@
 
 // Held describes a held request to operators.
 type Held struct {
-	// Request is the name of the request in logs and answers.
+	// Request is the name of the request in logs and responses.
 	Request string `json:"request"`
 	// Crashes is the number of servers that crashed while they had the request, LastCrashSeconds the time
 	// since the last crash.
--- a/pkg/routerd/connections.go
+++ b/pkg/routerd/connections.go
@@ -57,7 +57,7 @@
 }
 
 // onStateChange implements http.Server.ConnState. net/http reports a connection as idle only
-// after the answer has been sent completely.
+// after the response has been sent completely.
 func (t *connTracker) onStateChange(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +80,7 @@
 }
 
 // wrapHandler returns a handler that aborts requests from connections that have been closed, as
-// their answers could not be delivered.
+// their responses could not be delivered.
 func (t *connTracker) wrapHandler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !t.startRequest(r.Context()) {
--- a/pkg/routerd/connections_test.go
+++ b/pkg/routerd/connections_test.go
@@ -61,18 +61,18 @@
 	defer c.Close()
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
 	reader := bufio.NewReader(c)
-	answers := int32(0)
+	responses := int32(0)
 	for range 2 {
 		_, err = io.WriteString(c, rawRequest)
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(reader, nil)
 		if err == nil {
 			assert.Equal(t, http.StatusOK, resp.StatusCode)
-			answers++
+			responses++
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, handled.Load(), answers, "requests handled and answers received")
+	assert.Equal(t, handled.Load(), responses, "requests handled and responses received")
 }
 
 // withBlockingServer runs f with a server whose handler signals handled and then waits for unblock.
@@ -91,7 +91,7 @@
 }
 
 // Guards against a stop that closes connections with a request in flight, or that leaves them open
-// after the answer.
+// after the response.
 func TestStopWaitsForRequestsInFlight(t *testing.T) {
 	withBlockingServer(t, func(tracker *connTracker, address string, handled, unblock chan struct{}) {
 		c, err := net.Dial("tcp", address)
--- a/pkg/routerd/daemon.go
+++ b/pkg/routerd/daemon.go
@@ -46,7 +46,7 @@
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	// heldMemoryDivisor is the quotient of the memory limit and the limit on buffered requests and
-	// answers.
+	// responses.
 	heldMemoryDivisor = 4
 	// callerDescriptorShare is the fraction of the file descriptors available to connections of
 	// callers, after reservedDescriptors are set aside for files and listeners.
--- a/pkg/routerd/gauges.go
+++ b/pkg/routerd/gauges.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// heldGauge returns the gauge for buffered request and answer bytes.
+// heldGauge returns the gauge for buffered request and response bytes.
 func heldGauge(g *gateway.Gateway) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_held_bytes", Help: "Bytes of requests and answers held for callers.", Attribute: "of",
@@ -73,7 +73,7 @@
 	}
 }
 
-// signalsGauge returns the gauge for servers by the signal in their answers.
+// signalsGauge returns the gauge for servers by the signal in their responses.
 func signalsGauge(t *signals.Tracker) telemetry.Gauge {
 	return telemetry.Gauge{
 		Name: "headhill_server_signals", Help: "Servers by what they signal in their answers.",
--- a/pkg/routerd/settings_test.go
+++ b/pkg/routerd/settings_test.go
@@ -30,7 +30,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		s, err := ParseSettings(content)
 		if err == nil && (s.Box.ID == "" || s.Store == "" || s.Bounds.Drain <= 0) {
-			t.Fatalf("%+v", s)
+			t.Fatalf("accepted settings lack a required value: %+v", s)
 		}
 	})
 }
--- a/pkg/routerd/stop.go
+++ b/pkg/routerd/stop.go
@@ -14,7 +14,7 @@
 	// balancerNoticeTime is how long the load balancer may still send requests after the box has
 	// become not ready: two probes one second apart, and the connections already under way.
 	balancerNoticeTime = 3500 * time.Millisecond
-	// killMargin is reserved for cleanup between the last answer and the kill.
+	// killMargin is reserved for cleanup between the last response and the kill.
 	killMargin       = 600 * time.Millisecond
 	idlePollInterval = 20 * time.Millisecond
 	// streamAcceptTime is how long after the signal new streams are accepted. The load balancer
--- a/pkg/routerd/suspension.go
+++ b/pkg/routerd/suspension.go
@@ -25,7 +25,7 @@
 		case <-ticker.C:
 			total := clock.TotalSuspended()
 			if total > previous {
-				_ = level.Warn(d.logger).Log("msg", "machine was suspended", "for", total-previous, "total", total, "outcome", "routing data has aged by the time of the suspension")
+				_ = level.Warn(d.logger).Log("msg", "machine was suspended", "for", total-previous, "total", total, "outcome", "the age of routing data includes the suspension")
 			}
 			previous = total
 		}
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind defines whether requests on a route may run more than once, and whether answers are streamed.
+// Kind defines whether requests on a route may run more than once, and whether responses are streamed.
 type Kind int
 
 const (
@@ -17,7 +17,7 @@
 	KindOnce Kind = iota
 	// KindRepeatable is for requests that may run more than once.
 	KindRepeatable
-	// KindStream is for requests whose answer is a stream of events.
+	// KindStream is for requests whose response is a stream of events.
 	KindStream
 )
 
@@ -46,7 +46,7 @@
 	Kind   Kind
 	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// FirstEventTarget is the latency target for the answer or its first event.
+	// FirstEventTarget is the latency target for the response or its first event.
 	FirstEventTarget time.Duration `json:"FirstTarget"`
 	// InterEventTarget is the target for the longest gap between events; zero for no target.
 	InterEventTarget time.Duration `json:"BetweenTarget"`
--- a/pkg/scheduler/dispatch.go
+++ b/pkg/scheduler/dispatch.go
@@ -144,7 +144,7 @@
 
 // updateFloorCredits accounts for a start. Every class with waiting requests is credited
 // with its floor's share of the cost, and the started class is debited with the cost. The
-// cost is measured in tokens because a class with long answers would otherwise get a
+// cost is measured in tokens because a class with long responses would otherwise get a
 // multiple of its floor.
 func (s *Scheduler) updateFloorCredits(started *class) {
 	cost := s.startCost(started)
--- a/pkg/scheduler/guarantees_test.go
+++ b/pkg/scheduler/guarantees_test.go
@@ -242,7 +242,7 @@
 	}
 }
 
-// A class whose answers are longer must get exactly its floor's share of the output tokens.
+// A class whose responses are longer must get exactly its floor's share of the output tokens.
 func TestFloorIsAShareOfOutputTokens(t *testing.T) {
 	o := newOverload(t)
 	o.outputTokens = map[string]int{"counter": 20, "reports": 20, "batch": 400}
--- a/pkg/scheduler/queue.go
+++ b/pkg/scheduler/queue.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// recordOutput adds the size of a complete answer to the running mean.
+// recordOutput adds the size of a complete response to the running mean.
 func (c *class) recordOutput(outputTokens int) {
 	if !c.outputKnown {
 		c.meanOutputTokens = float64(outputTokens)
--- a/pkg/scheduler/types.go
+++ b/pkg/scheduler/types.go
@@ -115,7 +115,7 @@
 	ReasonNoServer
 )
 
-// String returns the reason as it appears in logs and answers.
+// String returns the reason as it appears in logs and responses.
 func (r Reason) String() string {
 	switch r {
 	case ReasonQueueFull:
@@ -145,7 +145,7 @@
 
 // Results of a granted request.
 const (
-	// ResultDone means that the server returned a complete answer.
+	// ResultDone means that the server returned a complete response.
 	ResultDone Result = iota + 1
 	// ResultFailed means that the server failed, refused the request or timed out.
 	ResultFailed
--- a/pkg/shard/eligible.go
+++ b/pkg/shard/eligible.go
@@ -7,7 +7,7 @@
 
 // maxShardsPerBox bounds the shards of one service that a box reserves in when the
 // fleet has more than membership.MaxFullMeshBoxes boxes: each shard needs connections to
-// its owner and to the next owner in line.
+// its owner and to the box that becomes owner if that one fails.
 const maxShardsPerBox = parallelReservations
 
 // Eligible returns the shards of a service in which this box may reserve, those of
@@ -19,18 +19,18 @@
 		limit = len(all)
 	}
 	byID := make(map[string]config.Shard, len(all))
-	var near, far []string
+	var sameHall, otherHalls []string
 	for _, sh := range all {
 		byID[sh.ID] = sh
 		if sh.Hall == hall {
-			near = append(near, sh.ID)
+			sameHall = append(sameHall, sh.ID)
 			continue
 		}
-		far = append(far, sh.ID)
+		otherHalls = append(otherHalls, sh.ID)
 	}
-	ids := membership.SelectByRendezvous(v.Self, near, limit)
+	ids := membership.SelectByRendezvous(v.Self, sameHall, limit)
 	if left := limit - len(ids); left > 0 {
-		ids = append(ids[:len(ids):len(ids)], membership.SelectByRendezvous(v.Self, far, left)...)
+		ids = append(ids[:len(ids):len(ids)], membership.SelectByRendezvous(v.Self, otherHalls, left)...)
 	}
 	list := make([]config.Shard, 0, len(ids))
 	for _, id := range ids {
--- a/pkg/signals/backoff.go
+++ b/pkg/signals/backoff.go
@@ -14,7 +14,7 @@
 	Accepting Backoff = iota
 	// BackingOff servers get no requests until their Retry-After has passed.
 	BackingOff
-	// HalfOpen servers are past their Retry-After but have not answered since: one request probes them.
+	// HalfOpen servers are past their Retry-After but have not responded since: one request probes them.
 	HalfOpen
 )
 
@@ -42,7 +42,7 @@
 	return true
 }
 
-// end handles an answer without Retry-After to a request that was sent at the given time. It reports
+// end handles a response without Retry-After to a request that was sent at the given time. It reports
 // whether that ends a backoff.
 func (b backoffs) end(key Key, sent time.Time) bool {
 	until, ok := b[key]
--- a/pkg/signals/signals.go
+++ b/pkg/signals/signals.go
@@ -7,7 +7,7 @@
 	"headhill.example/headhill/pkg/routing"
 )
 
-// Signals is what a server reports in the headers of one answer.
+// Signals is what a server reports in the headers of one response.
 type Signals struct {
 	Limit Limit
 	// Leaving is set if the server is draining and will stop.
@@ -18,7 +18,7 @@
 	Err error
 }
 
-// empty reports whether the answer carries no signals.
+// empty reports whether the response carries no signals.
 func (s Signals) empty() bool {
 	return !s.Limit.Set && !s.Leaving && s.RetryAfter == 0 && s.Err == nil
 }
@@ -29,7 +29,7 @@
 	PerSecond float64
 	// Set is false for a server without a limit.
 	Set bool
-	// Unknown is set if the answer does not say whether there is a limit.
+	// Unknown is set if the response does not say whether there is a limit.
 	Unknown bool
 }
 
@@ -41,20 +41,20 @@
 	return l.Set && (!other.Set || l.PerSecond < other.PerSecond)
 }
 
-// Observation is the latest state of a server according to its answers, except for Retry-After.
+// Observation is the latest state of a server according to its responses, except for Retry-After.
 type Observation struct {
 	Limit   Limit
 	Leaving bool
-	// ReceivedAt is when the latest of these answers was received.
+	// ReceivedAt is when the latest of these responses was received.
 	ReceivedAt time.Time
 }
 
 const (
-	// A limit that no answer repeats expires after limitTTL plus the time in which limitRequests
+	// A limit that no response repeats expires after limitTTL plus the time in which limitRequests
 	// requests are sent at its rate.
 	limitTTL      = 15 * time.Second
 	limitRequests = 4
-	// probeRequestsPerSecond is the minimum rate at which a limited server gets requests: only its answers
+	// probeRequestsPerSecond is the minimum rate at which a limited server gets requests: only its responses
 	// show when the limit has ended.
 	probeRequestsPerSecond = 0.1
 	// leavingTTL is how long a server is considered to be draining; by then it has stopped.
--- a/pkg/signals/tracker.go
+++ b/pkg/signals/tracker.go
@@ -19,7 +19,7 @@
 	sweepInterval = 10 * time.Second
 )
 
-// Tracker stores the signals of server incarnations: those in answers to this box and those that other
+// Tracker stores the signals of server incarnations: those in responses to this box and those that other
 // boxes share. A Retry-After applies only to the box that received it.
 type Tracker struct {
 	logger log.Logger
@@ -45,7 +45,7 @@
 	}
 }
 
-// Observe processes the signals of an answer to a request that was sent at the given time.
+// Observe processes the signals of a response to a request that was sent at the given time.
 func (t *Tracker) Observe(server routing.Incarnation, s Signals, sent, now time.Time) {
 	if s.empty() && !t.hasSignals.Load() {
 		return
@@ -78,7 +78,7 @@
 	_ = level.Warn(t.logger).Log("msg", "malformed server signal", "server", server, "err", err, "outcome", "keeping the previous state of the server")
 }
 
-// observeLimit processes the limit of an answer, or that it has none. The caller holds mu.
+// observeLimit processes the limit of a response, or that it has none. The caller holds mu.
 func (t *Tracker) observeLimit(server routing.Incarnation, key Key, l Limit, before Observation, sent, now time.Time) {
 	if !l.Set && !before.Limit.Set {
 		return
@@ -89,7 +89,7 @@
 	t.setLocal(server, key, Observation{Limit: l, ReceivedAt: now}, before, now.Sub(sent))
 }
 
-// setLocal stores an observation from an answer to a request that was sent age ago. The caller holds mu.
+// setLocal stores an observation from a response to a request that was sent age ago. The caller holds mu.
 func (t *Tracker) setLocal(server routing.Incarnation, key Key, o, before Observation, age time.Duration) {
 	if len(t.local) >= maxServers {
 		return
@@ -102,7 +102,7 @@
 	t.onChange()
 }
 
-// observeRetryAfter processes the Retry-After of an answer, or that it has none. The caller holds mu.
+// observeRetryAfter processes the Retry-After of a response, or that it has none. The caller holds mu.
 func (t *Tracker) observeRetryAfter(server routing.Incarnation, key Key, retryAfter time.Duration, sent, now time.Time) {
 	switch {
 	case retryAfter > 0 && t.backoffs.extend(key, retryAfter, now):
@@ -114,7 +114,7 @@
 	}
 }
 
-// logChange logs a change in the state of a server. The age is that of the request whose answer carried
+// logChange logs a change in the state of a server. The age is that of the request whose response carried
 // the signal, or of the observation received from another box.
 func (t *Tracker) logChange(server, source string, o, before Observation, age time.Duration) {
 	if o.Leaving != before.Leaving {
--- a/pkg/signals/tracker_test.go
+++ b/pkg/signals/tracker_test.go
@@ -39,11 +39,11 @@
 	tracker.Observe(server, limitSignal(2), at(0), at(1))
 	expect(limitSignal(2), "")
 	tracker.Observe(server, Signals{}, at(0.5), at(2))
-	expect(limitSignal(2), "an answer to an earlier request must not clear the limit")
+	expect(limitSignal(2), "a response to an earlier request must not clear the limit")
 	tracker.Observe(server, limitSignal(8), at(0.5), at(2))
-	expect(limitSignal(2), "an answer to an earlier request must not raise the limit")
+	expect(limitSignal(2), "a response to an earlier request must not raise the limit")
 	tracker.Observe(server, limitSignal(1), at(0.5), at(2))
-	expect(limitSignal(1), "a stricter limit must be applied from any answer")
+	expect(limitSignal(1), "a stricter limit must be applied from any response")
 	tracker.Observe(server, limitSignal(8), at(2.1), at(2.5))
 	expect(limitSignal(8), "")
 	tracker.Observe(server, Signals{Limit: Limit{Unknown: true}, Err: errors.New("malformed")}, at(2.6), at(2.7))
@@ -58,7 +58,7 @@
 	assert.True(t, tracker.State(KeyOf(server), at(16)).Limit.Set)
 	assert.False(t, tracker.State(KeyOf(server), at(18)).Limit.Set)
 	tracker.Observe(server, limitSignal(0), at(18), at(18))
-	assert.True(t, tracker.State(KeyOf(server), at(50)).Limit.Set, "a lower limit must expire later, as there are fewer answers")
+	assert.True(t, tracker.State(KeyOf(server), at(50)).Limit.Set, "a lower limit must expire later, as there are fewer responses")
 }
 
 func TestSignalsHoldForOneIncarnation(t *testing.T) {
